--- a/coltsfoottray/daemons/entry.py
+++ b/coltsfoottray/daemons/entry.py
@@ -13,8 +13,8 @@
 from coltsfoottray.entry.metrics import LatencyMetrics
 from coltsfoottray.explain import Journal
 from coltsfoottray.kernel import Kernel, Listener, ServiceName
-from coltsfoottray.leases import EntryLease, Ownership
-from coltsfoottray.leases.lost import LostWorkers
+from coltsfoottray.leases import EntryLease, PartitionOwnership
+from coltsfoottray.leases.lost_workers import LostWorkerDetector
 from coltsfoottray.lists import ListEditor, ListFollower
 from coltsfoottray.membership import (
     WATCH,
@@ -235,8 +235,10 @@
         self.views = WorkerViews(
             registry=self.registry, policy=policy, clock=self.clock
         )
-        self.lost = LostWorkers(table=self.table, clock=self.clock, lease=timing.lease)
-        self.ownership = Ownership(
+        self.lost = LostWorkerDetector(
+            table=self.table, clock=self.clock, lease=timing.lease
+        )
+        self.ownership = PartitionOwnership(
             table=self.table,
             directory=self.directory,
             clock=self.clock,
@@ -257,7 +259,7 @@
             store=self.store,
             views=self.views,
             placer=placer,
-            lost=self.lost,
+            lost_workers=self.lost,
             peers=self.peers,
             objects=self.objects,
             journal=self.journal,
--- a/coltsfoottray/leases/__init__.py
+++ b/coltsfoottray/leases/__init__.py
@@ -6,9 +6,9 @@
 from coltsfoottray.leases.observer import LeaseObserver
 from coltsfoottray.leases.partitions import (
     PARTITION_COUNT,
-    Ownership,
-    as_partition,
+    PartitionOwnership,
     partition_key,
+    partition_of,
 )
 from coltsfoottray.leases.worker import WorkerLease, WorkerLeaseRow, worker_key
 
@@ -16,10 +16,10 @@
     "PARTITION_COUNT",
     "EntryLease",
     "LeaseObserver",
-    "Ownership",
+    "PartitionOwnership",
     "WorkerLease",
     "WorkerLeaseRow",
-    "as_partition",
     "partition_key",
+    "partition_of",
     "worker_key",
 ]
--- a/coltsfoottray/leases/lost.py
+++ b/coltsfoottray/leases/lost_workers.py
@@ -16,10 +16,10 @@
 from coltsfoottray.platform import Put, Row, TableService, TableUnavailable, Transaction
 from coltsfoottray.types import AttendantId
 
-__all__ = ["LostWorkers"]
+__all__ = ["LostWorkerDetector"]
 
 
-class LostWorkers(Service):
+class LostWorkerDetector(Service):
     """Reads the workers' rows, and marks those lost that are not renewed.
 
     Marking is a write conditional on the version last seen: a holder that
@@ -53,7 +53,7 @@
                 log_event("lease:workers-unread", error=str(error))
             await self._clock.sleep(self._interval)
 
-    def is_dead(self, worker: AttendantId, term: int) -> bool:
+    def has_term_ended(self, worker: AttendantId, term: int) -> bool:
         """Whether tasks bound to `term` of `worker` certainly run no more."""
         return term <= self._dead_term_by_worker.get(worker, 0)
 
--- a/coltsfoottray/leases/partitions.py
+++ b/coltsfoottray/leases/partitions.py
@@ -20,9 +20,9 @@
 
 __all__ = [
     "PARTITION_COUNT",
-    "Ownership",
-    "as_partition",
+    "PartitionOwnership",
     "partition_key",
+    "partition_of",
     "rendezvous",
 ]
 
@@ -36,7 +36,7 @@
     incarnation: Incarnation
 
 
-def as_partition(customer: CustomerId) -> int:
+def partition_of(customer: CustomerId) -> int:
     """Return the partition that holds all of a customer's tasks.
 
     One owner sees everything a customer runs, so its quota is kept without
@@ -60,7 +60,7 @@
     return max(ids, key=weight)
 
 
-class Ownership(Service):
+class PartitionOwnership(Service):
     """Takes, keeps and hands over partitions.
 
     The version of the partition's row is its epoch. Each write about a task
--- a/coltsfoottray/tasks/follower.py
+++ b/coltsfoottray/tasks/follower.py
@@ -11,7 +11,7 @@
 from coltsfoottray.clock import Clock
 from coltsfoottray.errors import CommunicationError
 from coltsfoottray.explain import Journal, Verb
-from coltsfoottray.leases.lost import LostWorkers
+from coltsfoottray.leases.lost_workers import LostWorkerDetector
 from coltsfoottray.logs import log_event
 from coltsfoottray.membership import AttemptReport, Member
 from coltsfoottray.peers import PeerClient
@@ -48,7 +48,7 @@
         store: TaskStore,
         views: WorkerViews,
         placer: Placer,
-        lost: LostWorkers,
+        lost_workers: LostWorkerDetector,
         peers: PeerClient,
         objects: ObjectStore,
         journal: Journal,
@@ -57,7 +57,7 @@
         self._store = store
         self._views = views
         self._placer = placer
-        self._lost = lost
+        self._lost_workers = lost_workers
         self._peers = peers
         self._objects = objects
         self._journal = journal
@@ -67,7 +67,7 @@
         """Whether `follow` has something to do now."""
         row = stored.row
         self._views.note_spec(row.spec)
-        if row.wants_cancel or self._lost.is_dead(row.worker, row.term):
+        if row.wants_cancel or self._lost_workers.has_term_ended(row.worker, row.term):
             return True
         member = self._views.find(row.worker)
         if member is None:
@@ -80,7 +80,7 @@
     async def follow(self, partition: OwnedPartition, stored: StoredTask) -> None:
         """Do the next step for a running attempt."""
         row = stored.row
-        if self._lost.is_dead(row.worker, row.term):
+        if self._lost_workers.has_term_ended(row.worker, row.term):
             await self._requeue(partition, stored, f"worker {row.worker} was lost")
             return
         member = self._views.find(row.worker)
--- a/coltsfoottray/tasks/owner.py
+++ b/coltsfoottray/tasks/owner.py
@@ -10,7 +10,7 @@
 from coltsfoottray.clock import Clock
 from coltsfoottray.errors import CommunicationError
 from coltsfoottray.kernel import Service
-from coltsfoottray.leases import Ownership, as_partition
+from coltsfoottray.leases import PartitionOwnership, partition_of
 from coltsfoottray.logs import log_event
 from coltsfoottray.membership import EntryDirectory, EntryRecord, Registry
 from coltsfoottray.peers import Call, CallHandlers, PeerClient
@@ -58,7 +58,7 @@
         self,
         *,
         entry: EntryId,
-        ownership: Ownership,
+        ownership: PartitionOwnership,
         directory: EntryDirectory,
         registry: Registry,
         store: TaskStore,
@@ -105,7 +105,7 @@
         and the one that owns it takes notice.
         """
         change = TaskChanged(customer=customer, task=task)
-        if as_partition(customer) in self._owned_by_index:
+        if partition_of(customer) in self._owned_by_index:
             await self.task_changed(change)
             return
         async with trio.open_nursery() as nursery:
@@ -124,7 +124,7 @@
 
     async def task_changed(self, change: TaskChanged) -> TaskChangedReply:
         """Answer `TASK_CHANGED`: read the row again."""
-        owned = self._owned_by_index.get(as_partition(change.customer))
+        owned = self._owned_by_index.get(partition_of(change.customer))
         if owned is None:
             return TaskChangedReply()
         try:
--- a/coltsfoottray/tasks/rows.py
+++ b/coltsfoottray/tasks/rows.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from coltsfoottray.leases.partitions import as_partition
+from coltsfoottray.leases.partitions import partition_of
 from coltsfoottray.types import (
     AttendantId,
     CustomerId,
@@ -107,4 +107,4 @@
 
 def task_key(spec: TaskSpec) -> str:
     """Return the key of the task's row."""
-    return f"{partition_prefix(as_partition(spec.customer))}{spec.task}"
+    return f"{partition_prefix(partition_of(spec.customer))}{spec.task}"
--- a/coltsfoottray/tasks/store.py
+++ b/coltsfoottray/tasks/store.py
@@ -10,7 +10,7 @@
 
 from coltsfoottray.clock import Clock
 from coltsfoottray.leases import partition_key
-from coltsfoottray.leases.partitions import as_partition
+from coltsfoottray.leases.partitions import partition_of
 from coltsfoottray.platform import Check, Put, Row, TableService, Transaction
 from coltsfoottray.platform.common import ABSENT
 from coltsfoottray.platform.settle import commit_settled
@@ -73,7 +73,7 @@
 
     async def find(self, customer: CustomerId, task: TaskId) -> StoredTask | None:
         """Return the task's row."""
-        key = f"{partition_prefix(as_partition(customer))}{task}"
+        key = f"{partition_prefix(partition_of(customer))}{task}"
         row = await self._table.get(key)
         return None if row is None else _as_stored(row)
 
@@ -107,7 +107,7 @@
     ) -> Result[StoredTask, Fenced]:
         """Replace `stored` by `row`, as the owner of its partition at `epoch`."""
         key = task_key(row.spec)
-        fence = Check(key=partition_key(as_partition(row.spec.customer)), version=epoch)
+        fence = Check(key=partition_key(partition_of(row.spec.customer)), version=epoch)
         transaction = Transaction(
             puts=[Put.of(key, stored.version, row)], checks=[fence]
         )
--- a/tests/steps/task_steps.py
+++ b/tests/steps/task_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from coltsfoottray.leases import as_partition
+from coltsfoottray.leases import partition_of
 from coltsfoottray.types import TaskState
 from coltsfoottray.worker import StartRequest
 from tests.support.world import CUSTOMERS, World
@@ -205,7 +205,7 @@
 
 
 def _owner(world, customer):
-    partition = as_partition(customer)
+    partition = partition_of(customer)
     owners = [
         name
         for name, entry in world.cell.entry_by_name.items()
