--- a/coltsfoottray/lists/editor.py
+++ b/coltsfoottray/lists/editor.py
@@ -106,7 +106,7 @@
             raise
         if isinstance(outcome, Failure):
             return Failure(await self._conflict(lists.version))
-        self._holder.adopt(lists)
+        self._holder.replace_if_newer(lists)
         return Success(lists)
 
     async def _find_accepted(self, edit: Edit) -> Lists | None:
@@ -121,7 +121,7 @@
         record = row.decode(EditRecord)
         if record.edit.token != edit.token:
             return None
-        self._holder.adopt(record.lists)
+        self._holder.replace_if_newer(record.lists)
         return record.lists
 
     async def _conflict(self, version: ListVersion) -> EditConflict:
--- a/coltsfoottray/lists/follower.py
+++ b/coltsfoottray/lists/follower.py
@@ -52,5 +52,5 @@
         except TableUnavailable as error:
             log_event("lists:poll-failed", error=str(error))
             return
-        if self._holder.adopt(lists):
+        if self._holder.replace_if_newer(lists):
             log_event("lists:in-force", version=lists.version)
--- a/coltsfoottray/lists/holder.py
+++ b/coltsfoottray/lists/holder.py
@@ -17,7 +17,7 @@
         self.current = Lists()
         self._changed = trio.Event()
 
-    def adopt(self, lists: Lists) -> bool:
+    def replace_if_newer(self, lists: Lists) -> bool:
         """Put `lists` in force if they are newer; return whether they were.
 
         Late and repeated pushes arrive in any order. An older version is
--- a/coltsfoottray/membership/announcer.py
+++ b/coltsfoottray/membership/announcer.py
@@ -113,6 +113,6 @@
                 "membership:entry-unreachable", entry=record.entry, error=str(error)
             )
             return False
-        if reply.lists is not None and self._holder.adopt(reply.lists):
+        if reply.lists is not None and self._holder.replace_if_newer(reply.lists):
             log_event("lists:in-force", version=reply.lists.version)
         return True
--- a/tests/steps/list_steps.py
+++ b/tests/steps/list_steps.py
@@ -39,7 +39,7 @@
 
     async def push():
         for daemon in _daemons(context):
-            assert not daemon.holder.adopt(record.lists)
+            assert not daemon.holder.replace_if_newer(record.lists)
 
     context.world.run(push)
 
