--- a/coltsfoottray/daemons/entry.py
+++ b/coltsfoottray/daemons/entry.py
@@ -32,9 +32,9 @@
 from coltsfoottray.routing.table import RoutingTable
 from coltsfoottray.settings import EntrySettings
 from coltsfoottray.tasks import TaskStore
-from coltsfoottray.tasks.follower import AttemptFollower
 from coltsfoottray.tasks.owner import QueueOwner
 from coltsfoottray.tasks.placer import Placer
+from coltsfoottray.tasks.supervisor import AttemptSupervisor
 from coltsfoottray.tasks.workers import WorkerViews
 from coltsfoottray.types import DataCentre, EntryId, Role
 
@@ -255,7 +255,7 @@
             journal=self.journal,
             clock=self.clock,
         )
-        follower = AttemptFollower(
+        supervisor = AttemptSupervisor(
             store=self.store,
             views=self.views,
             placer=placer,
@@ -273,7 +273,7 @@
             store=self.store,
             views=self.views,
             placer=placer,
-            follower=follower,
+            supervisor=supervisor,
             peers=self.peers,
             clock=self.clock,
         )
--- a/coltsfoottray/entry/batch.py
+++ b/coltsfoottray/entry/batch.py
@@ -98,7 +98,7 @@
                 detail=f"id {spec.task!r} was accepted before for another task",
             ).as_response()
         self._note(spec, Verb.ACCEPT, "queued", "within the plan")
-        await self._owner.announce(spec.customer, spec.task)
+        await self._owner.notify_owner(spec.customer, spec.task)
         return HttpResponse.of_json(_as_answer(outcome.unwrap()), status=_ACCEPTED)
 
     def _refusal(self, spec: TaskSpec) -> str | None:
@@ -124,7 +124,7 @@
                 return _not_found(task)
             if stored.row.state.is_final or await self._store.cancel(stored):
                 break
-        await self._owner.announce(customer, task_id)
+        await self._owner.notify_owner(customer, task_id)
         return await self._answer(customer, task)
 
     def _note(self, spec: TaskSpec, verb: Verb, choice: str, reason: str) -> None:
--- a/coltsfoottray/placement/common.py
+++ b/coltsfoottray/placement/common.py
@@ -57,7 +57,7 @@
     ) -> Placement | None:
         """Return a worker that has room for `spec`, None if there is none."""
 
-    def note_slowdown(  # noqa: B027  a policy may do without
+    def record_slowdown(  # noqa: B027  a policy may do without
         self, kind: Kind, beside: Sequence[Kind], slowdown: float
     ) -> None:
         """Learn from a late report how `kind` fared beside other kinds."""
--- a/coltsfoottray/placement/tightest_fit.py
+++ b/coltsfoottray/placement/tightest_fit.py
@@ -51,7 +51,7 @@
             ],
         )
 
-    def note_slowdown(  # noqa: D102
+    def record_slowdown(  # noqa: D102
         self, kind: Kind, beside: Sequence[Kind], slowdown: float
     ) -> None:
         excess = max(0.0, slowdown - 1.0)
--- a/coltsfoottray/tasks/owner.py
+++ b/coltsfoottray/tasks/owner.py
@@ -15,11 +15,11 @@
 from coltsfoottray.membership import EntryDirectory, EntryRecord, Registry
 from coltsfoottray.peers import Call, CallHandlers, PeerClient
 from coltsfoottray.platform import TableUnavailable
-from coltsfoottray.tasks.follower import AttemptFollower
 from coltsfoottray.tasks.partition import OwnedPartition
 from coltsfoottray.tasks.placer import CALL_TIMEOUT, Placer
 from coltsfoottray.tasks.rows import StoredTask
 from coltsfoottray.tasks.store import TaskStore
+from coltsfoottray.tasks.supervisor import AttemptSupervisor
 from coltsfoottray.tasks.workers import WorkerViews
 from coltsfoottray.types import CustomerId, EntryId, TaskId
 from coltsfoottray.types import TaskState as State
@@ -64,7 +64,7 @@
         store: TaskStore,
         views: WorkerViews,
         placer: Placer,
-        follower: AttemptFollower,
+        supervisor: AttemptSupervisor,
         peers: PeerClient,
         clock: Clock,
     ) -> None:
@@ -75,7 +75,7 @@
         self._store = store
         self._views = views
         self._placer = placer
-        self._follower = follower
+        self._supervisor = supervisor
         self._peers = peers
         self._clock = clock
         self._owned_by_index: dict[int, OwnedPartition] = {}
@@ -97,7 +97,7 @@
                 self._follow_ownership(nursery)
                 await self._ownership.wait_changed()
 
-    async def announce(self, customer: CustomerId, task: TaskId) -> None:
+    async def notify_owner(self, customer: CustomerId, task: TaskId) -> None:
         """Tell the owner of a task that its row has changed.
 
         Who owns a partition is known here only as of the last reading of the
@@ -173,7 +173,7 @@
         limit = trio.CapacityLimiter(MAX_CONCURRENT)
         async with trio.open_nursery() as nursery:
             for stored in owned.running():
-                if self._follower.needs_action(owned, stored):
+                if self._supervisor.needs_action(owned, stored):
                     nursery.start_soon(self._step, owned, stored, limit)
             for stored in owned.queued():
                 nursery.start_soon(self._step, owned, stored, limit)
@@ -188,7 +188,7 @@
                 if stored.row.state is State.QUEUED:
                     await self._placer.place(owned, stored)
                 else:
-                    await self._follower.follow(owned, stored)
+                    await self._supervisor.supervise(owned, stored)
             except TableUnavailable as error:
                 log_event("tasks:not-moved", task=task, error=str(error))
             finally:
@@ -218,7 +218,7 @@
     async def _learn_slowdowns(self) -> None:
         while True:
             await self._clock.sleep(_LEARN_INTERVAL)
-            self._views.learn_slowdowns()
+            self._views.report_slowdowns()
 
     def _signal(self) -> None:
         self._wake.set()
--- a/coltsfoottray/tasks/placer.py
+++ b/coltsfoottray/tasks/placer.py
@@ -99,7 +99,7 @@
         except CommunicationError as error:
             log_event("tasks:no-start", task=row.spec.task, error=str(error))
             return None
-        self._views.learn(member, reply.report)
+        self._views.record_report(member, reply.report)
         return reply.verdict
 
     def _choose(
@@ -111,7 +111,7 @@
             self._wait(spec, reason, [])
             return None
         skip = {runner_up.name for runner_up in refused}
-        views = [v for v in self._views.views() if v.worker not in skip]
+        views = [v for v in self._views.candidates() if v.worker not in skip]
         if stored.row.failures:
             # Not where it failed last, if there is any other.
             views = [v for v in views if v.worker != stored.row.worker] or views
@@ -159,7 +159,7 @@
                 error=str(error),
             )
             return None
-        self._views.learn(member, reply.report)
+        self._views.record_report(member, reply.report)
         return reply
 
     async def _commit_and_start(
@@ -184,7 +184,7 @@
             reason=placement.reason,
         )
         try:
-            outcome = await self._store.move(stored, row, epoch=partition.epoch)
+            outcome = await self._store.update(stored, row, epoch=partition.epoch)
         except TableUnavailable as error:
             self._wait(row.spec, f"not committed: {error}", [])
             return
@@ -194,7 +194,7 @@
         self._wait_reason_by_task.pop(row.spec.task, None)
         partition.put(outcome.unwrap())
         partition.started_at_by_task[row.spec.task] = self._clock.elapsed()
-        self._views.note_spec(row.spec)
+        self._views.record_spec(row.spec)
         self._note(
             row.spec,
             Verb.PLACE,
--- a/coltsfoottray/tasks/store.py
+++ b/coltsfoottray/tasks/store.py
@@ -102,7 +102,7 @@
         rows = await self._table.scan(partition_prefix(partition))
         return [_as_stored(row) for row in rows]
 
-    async def move(
+    async def update(
         self, stored: StoredTask, row: TaskRow, *, epoch: int
     ) -> Result[StoredTask, Fenced]:
         """Replace `stored` by `row`, as the owner of its partition at `epoch`."""
--- a/coltsfoottray/tasks/follower.py
+++ b/coltsfoottray/tasks/supervisor.py
@@ -30,7 +30,7 @@
     Verdict,
 )
 
-__all__ = ["AttemptFollower"]
+__all__ = ["AttemptSupervisor"]
 
 # A start not confirmed by a report for this long is asked for again.
 START_AGAIN_AFTER = timedelta(seconds=3)
@@ -39,7 +39,7 @@
 _HOPELESS = frozenset({Verdict.NO_ROOM, Verdict.STOPPED, Verdict.WORKER_FAILED})
 
 
-class AttemptFollower:
+class AttemptSupervisor:
     """Decides, for one running attempt, what its newest report means."""
 
     def __init__(
@@ -64,9 +64,9 @@
         self._clock = clock
 
     def needs_action(self, partition: OwnedPartition, stored: StoredTask) -> bool:
-        """Whether `follow` has something to do now."""
+        """Whether `supervise` has something to do now."""
         row = stored.row
-        self._views.note_spec(row.spec)
+        self._views.record_spec(row.spec)
         if row.wants_cancel or self._lost_workers.has_term_ended(row.worker, row.term):
             return True
         member = self._views.find(row.worker)
@@ -77,7 +77,7 @@
             return report.exit_code is not None
         return self._is_start_overdue(partition, row)
 
-    async def follow(self, partition: OwnedPartition, stored: StoredTask) -> None:
+    async def supervise(self, partition: OwnedPartition, stored: StoredTask) -> None:
         """Do the next step for a running attempt."""
         row = stored.row
         if self._lost_workers.has_term_ended(row.worker, row.term):
@@ -122,7 +122,7 @@
         exit_code: int,
     ) -> None:
         row = stored.row
-        self._views.note_end(row.worker, row.spec.task, is_good=exit_code == 0)
+        self._views.record_end(row.worker, row.spec.task, is_good=exit_code == 0)
         if await self._write_end(partition, stored, exit_code):
             await self._forget(member, row)
 
@@ -216,7 +216,7 @@
     async def _move(
         self, partition: OwnedPartition, stored: StoredTask, row: TaskRow, verb: Verb
     ) -> bool:
-        outcome = await self._store.move(stored, row, epoch=partition.epoch)
+        outcome = await self._store.update(stored, row, epoch=partition.epoch)
         if not isinstance(outcome, Success):
             found = await self._store.find(row.spec.customer, row.spec.task)
             if found is not None:
--- a/coltsfoottray/tasks/workers.py
+++ b/coltsfoottray/tasks/workers.py
@@ -46,7 +46,7 @@
         """Return the worker's attendant if it is present."""
         return self._registry.find(worker)
 
-    def note_spec(self, spec: TaskSpec) -> None:
+    def record_spec(self, spec: TaskSpec) -> None:
         """Remember a task's kind, by which pairs on a worker are known."""
         self._spec_by_task[spec.task] = spec
 
@@ -55,11 +55,11 @@
         self._spec_by_task.pop(task, None)
 
     @property
-    def known_tasks(self) -> int:
+    def known_task_count(self) -> int:
         """How many running tasks are remembered."""
         return len(self._spec_by_task)
 
-    def note_end(self, worker: AttendantId, task: TaskId, *, is_good: bool) -> None:
+    def record_end(self, worker: AttendantId, task: TaskId, *, is_good: bool) -> None:
         """Take in how an attempt on `worker` ended.
 
         Some workers fail everything they start, and being always free they
@@ -79,7 +79,7 @@
             log_event("placement:suspect", worker=worker, failed=sorted(failed))
             failed.clear()
 
-    def learn(self, member: Member, report: WorkerReport) -> None:
+    def record_report(self, member: Member, report: WorkerReport) -> None:
         """Take the report that came back on a proposal."""
         announcement = member.announcement
         assert announcement.worker is not None
@@ -103,7 +103,7 @@
             return learned.report
         return announcement.worker
 
-    def views(self) -> list[WorkerView]:
+    def candidates(self) -> list[WorkerView]:
         """Return the workers that take new tasks."""
         members = [
             member
@@ -118,7 +118,7 @@
             tasks_by_rack[member.announcement.rack] += len(attempts)
         return [self._as_view(member, tasks_by_rack) for member in members]
 
-    def learn_slowdowns(self) -> None:
+    def report_slowdowns(self) -> None:
         """Hand the late reports of slowdown to the policy."""
         for member in self._registry.members(Role.WORKER):
             attempts = self.report_of(member).attempts
@@ -131,7 +131,7 @@
                     if task != attempt.task and other is not None
                 ]
                 if kind is not None and attempt.exit_code is None and beside:
-                    self._policy.note_slowdown(kind, beside, attempt.slowdown)
+                    self._policy.record_slowdown(kind, beside, attempt.slowdown)
 
     def _is_suspect(self, worker: AttendantId) -> bool:
         until = self._suspect_until_by_worker.get(worker)
--- a/tests/steps/task_steps.py
+++ b/tests/steps/task_steps.py
@@ -237,7 +237,7 @@
 def check_forgotten(context):
     context.world.advance(1)
     for name, entry in context.world.cell.entry_by_name.items():
-        assert entry.views.known_tasks == 0, (name, entry.views.known_tasks)
+        assert entry.views.known_task_count == 0, (name, entry.views.known_task_count)
 
 
 @when("the table is down for {ms:d} ms, and {more:d} ms more for the workers")
