--- a/coltsfoottray/daemons/entry.py
+++ b/coltsfoottray/daemons/entry.py
@@ -13,8 +13,8 @@
 from coltsfoottray.entry.metrics import LatencyMetrics
 from coltsfoottray.explain import Journal
 from coltsfoottray.kernel import Kernel, Listener, ServiceName
-from coltsfoottray.leases import EntryLease, Ownership
-from coltsfoottray.leases.lost import LostWorkers
+from coltsfoottray.leases import EntryLease, PartitionOwnership
+from coltsfoottray.leases.lost_workers import LostWorkerDetector
 from coltsfoottray.lists import ListEditor, ListFollower
 from coltsfoottray.membership import (
     WATCH,
@@ -32,9 +32,9 @@
 from coltsfoottray.routing.table import RoutingTable
 from coltsfoottray.settings import EntrySettings
 from coltsfoottray.tasks import TaskStore
-from coltsfoottray.tasks.follower import AttemptFollower
 from coltsfoottray.tasks.owner import QueueOwner
 from coltsfoottray.tasks.placer import Placer
+from coltsfoottray.tasks.supervisor import AttemptSupervisor
 from coltsfoottray.tasks.workers import WorkerViews
 from coltsfoottray.types import DataCentre, EntryId, Role
 
@@ -235,8 +235,10 @@
         self.views = WorkerViews(
             registry=self.registry, policy=policy, clock=self.clock
         )
-        self.lost = LostWorkers(table=self.table, clock=self.clock, lease=timing.lease)
-        self.ownership = Ownership(
+        self.lost = LostWorkerDetector(
+            table=self.table, clock=self.clock, lease=timing.lease
+        )
+        self.ownership = PartitionOwnership(
             table=self.table,
             directory=self.directory,
             clock=self.clock,
@@ -253,11 +255,11 @@
             journal=self.journal,
             clock=self.clock,
         )
-        follower = AttemptFollower(
+        supervisor = AttemptSupervisor(
             store=self.store,
             views=self.views,
             placer=placer,
-            lost=self.lost,
+            lost_workers=self.lost,
             peers=self.peers,
             objects=self.objects,
             journal=self.journal,
@@ -271,7 +273,7 @@
             store=self.store,
             views=self.views,
             placer=placer,
-            follower=follower,
+            supervisor=supervisor,
             peers=self.peers,
             clock=self.clock,
         )
--- a/coltsfoottray/tasks/owner.py
+++ b/coltsfoottray/tasks/owner.py
@@ -10,16 +10,16 @@
 from coltsfoottray.clock import Clock
 from coltsfoottray.errors import CommunicationError
 from coltsfoottray.kernel import Service
-from coltsfoottray.leases import Ownership, as_partition
+from coltsfoottray.leases import PartitionOwnership, partition_of
 from coltsfoottray.logs import log_event
 from coltsfoottray.membership import EntryDirectory, EntryRecord, Registry
 from coltsfoottray.peers import Call, CallHandlers, PeerClient
 from coltsfoottray.platform import TableUnavailable
-from coltsfoottray.tasks.follower import AttemptFollower
 from coltsfoottray.tasks.partition import OwnedPartition
 from coltsfoottray.tasks.placer import CALL_TIMEOUT, Placer
 from coltsfoottray.tasks.rows import StoredTask
 from coltsfoottray.tasks.store import TaskStore
+from coltsfoottray.tasks.supervisor import AttemptSupervisor
 from coltsfoottray.tasks.workers import WorkerViews
 from coltsfoottray.types import CustomerId, EntryId, TaskId
 from coltsfoottray.types import TaskState as State
@@ -58,13 +58,13 @@
         self,
         *,
         entry: EntryId,
-        ownership: Ownership,
+        ownership: PartitionOwnership,
         directory: EntryDirectory,
         registry: Registry,
         store: TaskStore,
         views: WorkerViews,
         placer: Placer,
-        follower: AttemptFollower,
+        supervisor: AttemptSupervisor,
         peers: PeerClient,
         clock: Clock,
     ) -> None:
@@ -75,7 +75,7 @@
         self._store = store
         self._views = views
         self._placer = placer
-        self._follower = follower
+        self._supervisor = supervisor
         self._peers = peers
         self._clock = clock
         self._owned_by_index: dict[int, OwnedPartition] = {}
@@ -97,7 +97,7 @@
                 self._follow_ownership(nursery)
                 await self._ownership.wait_changed()
 
-    async def announce(self, customer: CustomerId, task: TaskId) -> None:
+    async def notify_owner(self, customer: CustomerId, task: TaskId) -> None:
         """Tell the owner of a task that its row has changed.
 
         Who owns a partition is known here only as of the last reading of the
@@ -105,7 +105,7 @@
         and the one that owns it takes notice.
         """
         change = TaskChanged(customer=customer, task=task)
-        if as_partition(customer) in self._owned_by_index:
+        if partition_of(customer) in self._owned_by_index:
             await self.task_changed(change)
             return
         async with trio.open_nursery() as nursery:
@@ -124,7 +124,7 @@
 
     async def task_changed(self, change: TaskChanged) -> TaskChangedReply:
         """Answer `TASK_CHANGED`: read the row again."""
-        owned = self._owned_by_index.get(as_partition(change.customer))
+        owned = self._owned_by_index.get(partition_of(change.customer))
         if owned is None:
             return TaskChangedReply()
         try:
@@ -173,7 +173,7 @@
         limit = trio.CapacityLimiter(MAX_CONCURRENT)
         async with trio.open_nursery() as nursery:
             for stored in owned.running():
-                if self._follower.needs_action(owned, stored):
+                if self._supervisor.needs_action(owned, stored):
                     nursery.start_soon(self._step, owned, stored, limit)
             for stored in owned.queued():
                 nursery.start_soon(self._step, owned, stored, limit)
@@ -188,7 +188,7 @@
                 if stored.row.state is State.QUEUED:
                     await self._placer.place(owned, stored)
                 else:
-                    await self._follower.follow(owned, stored)
+                    await self._supervisor.supervise(owned, stored)
             except TableUnavailable as error:
                 log_event("tasks:not-moved", task=task, error=str(error))
             finally:
@@ -218,7 +218,7 @@
     async def _learn_slowdowns(self) -> None:
         while True:
             await self._clock.sleep(_LEARN_INTERVAL)
-            self._views.learn_slowdowns()
+            self._views.report_slowdowns()
 
     def _signal(self) -> None:
         self._wake.set()
