--- a/coltsfoottray/agent/attendant.py
+++ b/coltsfoottray/agent/attendant.py
@@ -158,7 +158,7 @@
         asked = self._clock.elapsed()
         session = self._session
         try:
-            look = await self._link.look(
+            poll = await self._link.poll(
                 beat=beat,
                 fence=session,
                 lease_end_ms=self.lease_ms(asked),
@@ -179,12 +179,12 @@
             log_event("worker:reached", life=beat.life)
             # While it did not answer, its lease was not renewed.
             self.tell()
-        self._lease.take_reading(look.clock)
+        self._lease.take_reading(poll.clock)
         self._metrics.time("look", self._clock.elapsed() - asked)
         left = self._lease.left(self._clock.elapsed())
         self._metrics.gauge("lease_left_seconds", left.total_seconds())
-        self._metrics.gauge("runs_there", len(look.running))
-        has_news = self._runs.take(look, asked=asked)
+        self._metrics.gauge("runs_there", len(poll.running))
+        has_news = self._runs.take(poll, asked=asked)
         if has_news or self._looked != session:
             self._looked = session
             self.tell()
@@ -192,7 +192,7 @@
             self._paced = asked
             self._find_stalls(asked)
             await self._speeds.take_look(beat, self._runs, self._session)
-        if look.ends:
+        if poll.ends:
             # With ends that are not acknowledged yet a look returns at once.
             await self._clock.sleep(_RETRY)
 
--- a/coltsfoottray/agent/lease.py
+++ b/coltsfoottray/agent/lease.py
@@ -5,7 +5,7 @@
 import math
 from datetime import timedelta
 
-from coltsfoottray.agent.worker import WorkerClock
+from coltsfoottray.agent.worker import ClockReading
 
 __all__ = ["WorkerLease"]
 
@@ -33,13 +33,13 @@
     def __init__(self, *, started: timedelta) -> None:
         self._granted = _NOTHING
         self._told = started + _WORKER_HORIZON
-        self._reading: WorkerClock | None = None
+        self._reading: ClockReading | None = None
 
     def begin_life(self) -> None:
         """Forget the clock of another life."""
         self._reading = None
 
-    def take_reading(self, reading: WorkerClock) -> None:
+    def take_reading(self, reading: ClockReading) -> None:
         """Take in a reading of the worker's clock."""
         self._reading = reading
 
--- a/coltsfoottray/agent/runs.py
+++ b/coltsfoottray/agent/runs.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from coltsfoottray.agent.worker import Look, Refusal, RunEnd, RunStatus
+from coltsfoottray.agent.worker import PollReply, Refusal, RunEnd, RunStatus
 from coltsfoottray.jobs.model import RunRef
 from coltsfoottray.scheduler.messages import RejectedStart, StartOrder
 
@@ -81,7 +81,7 @@
         self.order_by_ref.pop(ref, None)
         self.rejected_by_ref[ref] = RejectedStart(ref=ref, reason=reason)
 
-    def take(self, look: Look, *, asked: timedelta) -> bool:
+    def take(self, look: PollReply, *, asked: timedelta) -> bool:
         """Take in what a look showed; return whether there is news to report."""
         known = {end.number for end in self.ends}
         news = any(end.number not in known for end in look.ends)
@@ -103,7 +103,7 @@
             del self.order_by_ref[ref]
         return news
 
-    def _settle_stops(self, look: Look, asked: timedelta) -> bool:
+    def _settle_stops(self, look: PollReply, asked: timedelta) -> bool:
         """Note the stops that are through; return whether one had no run."""
         running = {status.ref for status in look.running}
         ended = {end.ref for end in look.ends}
@@ -111,7 +111,7 @@
         for ref, confirmed in list(self.stopped_by_ref.items()):
             if confirmed is None or confirmed >= asked or ref in running:
                 continue
-            if ref not in ended and not look.is_whole:
+            if ref not in ended and not look.is_complete:
                 continue
             del self.stopped_by_ref[ref]
             reason = self.reason_by_ref.pop(ref, Refusal.OLD)
@@ -121,13 +121,13 @@
                 news = True
         return news
 
-    def _settle_refusals(self, look: Look, asked: timedelta) -> bool:
+    def _settle_refusals(self, look: PollReply, asked: timedelta) -> bool:
         """Reject the starts whose runs are not there; return whether there are any."""
         there = {status.ref for status in look.running}
         there.update(end.ref for end in look.ends)
         news = False
         for ref, start in list(self.refused_by_ref.items()):
-            is_shown = start.refused < asked and (look.is_whole or ref in there)
+            is_shown = start.refused < asked and (look.is_complete or ref in there)
             if not is_shown:
                 continue
             del self.refused_by_ref[ref]
--- a/coltsfoottray/agent/worker.py
+++ b/coltsfoottray/agent/worker.py
@@ -14,14 +14,14 @@
 from coltsfoottray.types import Address, Resources
 
 __all__ = [
+    "ClockReading",
     "EndKind",
     "Heartbeat",
-    "Look",
+    "PollReply",
     "Refusal",
     "RunEnd",
     "RunStatus",
     "StartRefused",
-    "WorkerClock",
     "WorkerLink",
     "WorkerReplaced",
 ]
@@ -84,7 +84,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class WorkerClock:
+class ClockReading:
     """A reading of the worker's own clock and when it arrived here."""
 
     reading_ms: int
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Look:
+class PollReply:
     """What a worker runs and what has ended there.
 
     Parameters
@@ -101,10 +101,10 @@
         Whether it lists all ends; where there are many the oldest come first.
     """
 
-    clock: WorkerClock
+    clock: ClockReading
     running: list[RunStatus]
     ends: list[RunEnd]
-    is_whole: bool
+    is_complete: bool
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -174,7 +174,7 @@
     """
 
     @abc.abstractmethod
-    async def look(
+    async def poll(
         self,
         *,
         beat: Heartbeat,
@@ -182,7 +182,7 @@
         lease_end_ms: int,
         acknowledged: int,
         wait: timedelta,
-    ) -> Look:
+    ) -> PollReply:
         """Extend the lease, acknowledge ends and return what is there.
 
         Parameters
--- a/coltsfoottray/platform/instance.py
+++ b/coltsfoottray/platform/instance.py
@@ -10,14 +10,14 @@
 from returns.result import Failure, Result, Success
 
 from coltsfoottray.agent.worker import (
+    ClockReading,
     EndKind,
     Heartbeat,
-    Look,
+    PollReply,
     Refusal,
     RunEnd,
     RunStatus,
     StartRefused,
-    WorkerClock,
     WorkerLink,
     WorkerReplaced,
 )
@@ -83,7 +83,7 @@
         self._transport = transport
         self._clock = clock
 
-    async def look(  # noqa: D102
+    async def poll(  # noqa: D102
         self,
         *,
         beat: Heartbeat,
@@ -91,7 +91,7 @@
         lease_end_ms: int,
         acknowledged: int,
         wait: timedelta,
-    ) -> Look:
+    ) -> PollReply:
         body: dict[str, object] = {
             "fencingToken": fence,
             "ackCursor": acknowledged,
@@ -103,11 +103,13 @@
         if response.status != 200:
             raise _failed(beat, f"status {response.status}")
         lists = _decode(beat, response, _Lists)
-        return Look(
-            clock=WorkerClock(reading_ms=lists.clockMs, received=self._clock.elapsed()),
+        return PollReply(
+            clock=ClockReading(
+                reading_ms=lists.clockMs, received=self._clock.elapsed()
+            ),
             running=[_as_status(beat, row) for row in lists.running],
             ends=[_as_end(beat, row) for row in lists.finished],
-            is_whole=len(lists.finished) < _ENDS_AT_A_TIME,
+            is_complete=len(lists.finished) < _ENDS_AT_A_TIME,
         )
 
     async def start(  # noqa: D102
