--- a/coltsfoottray/agent/attendant.py
+++ b/coltsfoottray/agent/attendant.py
@@ -116,35 +116,35 @@
 
     # What the worker says.
 
-    def take_heartbeat(self, beat: Heartbeat) -> None:
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Take in the worker's report about itself."""
         known = self._beat
-        if known is not None and beat.life == known.life:
-            if beat.sequence <= known.sequence:
+        if known is not None and heartbeat.life == known.life:
+            if heartbeat.sequence <= known.sequence:
                 return
-            if beat.is_draining and not known.is_draining:
+            if heartbeat.is_draining and not known.is_draining:
                 log_event(
                     "worker:draining",
-                    life=beat.life,
-                    remaining_s=beat.remaining.total_seconds(),
+                    life=heartbeat.life,
+                    remaining_s=heartbeat.remaining.total_seconds(),
                 )
                 self.tell()
-            self._beat = beat
+            self._beat = heartbeat
             return
-        if known is not None and beat.born_ms <= known.born_ms:
-            log_event("worker:old-heartbeat", life=beat.life, current=known.life)
+        if known is not None and heartbeat.born_ms <= known.born_ms:
+            log_event("worker:old-heartbeat", life=heartbeat.life, current=known.life)
             return
-        log_event("worker:new-life", life=beat.life, before=known and known.life)
-        self._begin_life(beat)
+        log_event("worker:new-life", life=heartbeat.life, before=known and known.life)
+        self._begin_life(heartbeat)
 
-    def take_leave(self, life_id: str) -> None:
+    def handle_deregistration(self, life_id: str) -> None:
         """Hear that the worker is about to end."""
         if self._beat is not None and self._beat.life.startswith(f"{life_id}/"):
             log_event("worker:leaves", life=self._beat.life)
             self._reach.note_leave(self._clock.elapsed())
 
-    def _begin_life(self, beat: Heartbeat) -> None:
-        self._beat = beat
+    def _begin_life(self, heartbeat: Heartbeat) -> None:
+        self._beat = heartbeat
         self._runs = Runs()
         self._looked = 0
         self._acknowledged = 0
@@ -154,12 +154,12 @@
         self._has_lapsed = False
         self.tell()
 
-    async def _look(self, beat: Heartbeat) -> None:
+    async def _look(self, heartbeat: Heartbeat) -> None:
         asked = self._clock.elapsed()
         session = self._session
         try:
             poll = await self._link.poll(
-                beat=beat,
+                heartbeat=heartbeat,
                 fence=session,
                 lease_end_ms=self.lease_ms(asked),
                 acknowledged=self._ends_to_forget(),
@@ -167,16 +167,16 @@
             )
         except (CommunicationError, WorkerReplaced) as error:
             if self._reach.note_failure(error, asked):
-                log_event("worker:lost", life=beat.life, reason=str(error))
+                log_event("worker:lost", life=heartbeat.life, reason=str(error))
             if isinstance(error, WorkerReplaced):
                 self.note_replaced(error)
             await self._clock.sleep(_RETRY)
             return
-        if self._beat is None or beat.life != self._beat.life:
+        if self._beat is None or heartbeat.life != self._beat.life:
             return
         self._has_lapsed = False
         if self._reach.note_answer(asked):
-            log_event("worker:reached", life=beat.life)
+            log_event("worker:reached", life=heartbeat.life)
             # While it did not answer, its lease was not renewed.
             self.tell()
         self._lease.take_reading(poll.clock)
@@ -191,7 +191,7 @@
         if asked - self._paced >= _LOOK_WAIT * 0.8:
             self._paced = asked
             self._find_stalls(asked)
-            await self._speeds.take_look(beat, self._runs, self._session)
+            await self._speeds.take_look(heartbeat, self._runs, self._session)
         if poll.ends:
             # With ends that are not acknowledged yet a look returns at once.
             await self._clock.sleep(_RETRY)
@@ -253,8 +253,8 @@
         grants that would let it run on are void with it.
         """
         runs = self._runs
-        beat = self._beat
-        if beat is None or not self._reach.is_answering:
+        heartbeat = self._beat
+        if heartbeat is None or not self._reach.is_answering:
             self._lease.withdraw()
         left = self._lease.left_to_run(self._clock.elapsed())
         self._reports += 1
@@ -275,17 +275,17 @@
             pressures=self._speeds.pressures(),
             margin_by_image=self._speeds.margin_by_image,
         )
-        if beat is None:
+        if heartbeat is None:
             return report
         return msgspec.structs.replace(
             report,
-            life=beat.life,
-            service=beat.service,
-            capacity=beat.capacity,
-            labels=beat.labels,
-            rack=beat.rack,
-            is_draining=beat.is_draining,
-            remaining_ms=beat.remaining.total_seconds() * 1000,
+            life=heartbeat.life,
+            service=heartbeat.service,
+            capacity=heartbeat.capacity,
+            labels=heartbeat.labels,
+            rack=heartbeat.rack,
+            is_draining=heartbeat.is_draining,
+            remaining_ms=heartbeat.remaining.total_seconds() * 1000,
             is_reachable=self._reach.is_answering,
             is_replaced=self._reach.is_replaced,
         )
@@ -318,7 +318,7 @@
         is_due = report.shows_life and not reply.is_lease_pending
         return reply.lease_ms > 0 or not is_due
 
-    async def answer_orders(self, orders: Orders) -> Acknowledged:
+    async def handle_orders(self, orders: Orders) -> Acknowledged:
         """Take orders that the scheduler sends between reports."""
         self._carry_out(orders)
         return Acknowledged()
@@ -337,12 +337,16 @@
         self._runs.reason_by_ref.clear()
 
     def _carry_out(self, orders: Orders) -> None:
-        beat = self._beat
-        if orders.session != self._session or beat is None or beat.life != orders.life:
+        heartbeat = self._beat
+        if (
+            orders.session != self._session
+            or heartbeat is None
+            or heartbeat.life != orders.life
+        ):
             return
         self._acknowledged = max(self._acknowledged, orders.acknowledged)
         assert self._nursery is not None
-        scope = OrderScope(beat=beat, session=orders.session, runs=self._runs)
+        scope = OrderScope(heartbeat=heartbeat, session=orders.session, runs=self._runs)
         for order in orders.starts:
             if order.ref in self._runs.stopped_by_ref:
                 continue
--- a/coltsfoottray/agent/executor.py
+++ b/coltsfoottray/agent/executor.py
@@ -38,7 +38,7 @@
 class OrderScope:
     """The life and the session for which an order holds; in others it is void."""
 
-    beat: Heartbeat
+    heartbeat: Heartbeat
     session: int
     runs: Runs
 
@@ -123,7 +123,7 @@
                 continue
             try:
                 await self._link.start(
-                    beat=scope.beat,
+                    heartbeat=scope.heartbeat,
                     ref=order.ref,
                     payload=order.payload,
                     checkpoint=order.checkpoint,
@@ -154,7 +154,7 @@
                 if order.is_filler and self._speeds.has_services:
                     # Not at the next look: half a second of a strong filler at
                     # full speed takes two more to wear off.
-                    await self._speeds.set_speeds(scope.beat, runs, scope.session)
+                    await self._speeds.set_speeds(scope.heartbeat, runs, scope.session)
                 return
             await self._clock.sleep(_RETRY)
 
@@ -207,7 +207,9 @@
         runs.starting.discard(ref)
         while self._state.is_current(scope) and ref in runs.stopped_by_ref:
             try:
-                await self._link.stop(beat=scope.beat, ref=ref, fence=scope.session)
+                await self._link.stop(
+                    heartbeat=scope.heartbeat, ref=ref, fence=scope.session
+                )
             except (CommunicationError, WorkerReplaced) as error:
                 log_event("worker:stop-unanswered", run=str(ref), reason=str(error))
                 await self._clock.sleep(_RETRY)
--- a/coltsfoottray/agent/reporter.py
+++ b/coltsfoottray/agent/reporter.py
@@ -49,7 +49,7 @@
         self._epoch = 0
         self._attempt = trio.CancelScope()
 
-    async def answer_hello(self, hello: Hello) -> Acknowledged:
+    async def handle_hello(self, hello: Hello) -> Acknowledged:
         """Report to a new scheduler at once.
 
         An attempt to reach another entry is given up: after a loss of power it may be
--- a/coltsfoottray/agent/speeds.py
+++ b/coltsfoottray/agent/speeds.py
@@ -55,17 +55,20 @@
         """Whether the last look showed services with a target."""
         return bool(self._observations)
 
-    async def take_look(self, beat: Heartbeat, runs: Runs, fence: int) -> None:
+    async def take_look(self, heartbeat: Heartbeat, runs: Runs, fence: int) -> None:
         """Learn from the last look and set the speed of fillers by it."""
-        self._observations = self._observe(beat, runs)
-        await self.set_speeds(beat, runs, fence)
+        self._observations = self._observe(heartbeat, runs)
+        await self.set_speeds(heartbeat, runs, fence)
 
-    async def set_speeds(self, beat: Heartbeat, runs: Runs, fence: int) -> None:
+    async def set_speeds(self, heartbeat: Heartbeat, runs: Runs, fence: int) -> None:
         """Set the speed of all fillers, also of those just started."""
         observations = self._observations
-        fillers = _fillers(beat, runs)
+        fillers = _fillers(heartbeat, runs)
         percent_by_ref = self._pacer.adjust(
-            observations, fillers, self._clock.elapsed(), left=_left_share(beat, runs)
+            observations,
+            fillers,
+            self._clock.elapsed(),
+            left=_left_share(heartbeat, runs),
         )
         self.percent_by_ref = {
             ref: percent
@@ -75,13 +78,13 @@
         async with trio.open_nursery() as nursery:
             for ref, percent in percent_by_ref.items():
                 if is_worth_an_order(self.percent_by_ref.get(ref, FULL), percent):
-                    nursery.start_soon(self._set_speed, beat, ref, percent, fence)
+                    nursery.start_soon(self._set_speed, heartbeat, ref, percent, fence)
 
-    def _observe(self, beat: Heartbeat, runs: Runs) -> list[Observation]:
+    def _observe(self, heartbeat: Heartbeat, runs: Runs) -> list[Observation]:
         """Learn from what the last look showed; return the services."""
         observations: list[Observation] = []
         share_by_image: dict[str, float] = {}
-        whole = max(beat.capacity.processors, 1e-9)
+        whole = max(heartbeat.capacity.processors, 1e-9)
         for status in runs.running:
             order = runs.order_by_ref.get(status.ref)
             if order is None:
@@ -106,10 +109,12 @@
         return observations
 
     async def _set_speed(
-        self, beat: Heartbeat, ref: RunRef, percent: int, fence: int
+        self, heartbeat: Heartbeat, ref: RunRef, percent: int, fence: int
     ) -> None:
         try:
-            await self._link.pace(beat=beat, ref=ref, percent=percent, fence=fence)
+            await self._link.pace(
+                heartbeat=heartbeat, ref=ref, percent=percent, fence=fence
+            )
         except (CommunicationError, WorkerReplaced) as error:
             # Not noted as set, so the next look's adjustment sets it again.
             self.percent_by_ref.pop(ref, None)
@@ -119,19 +124,19 @@
         log_event("decision:pace", run=str(ref), percent=percent)
 
 
-def _left_share(beat: Heartbeat, runs: Runs) -> float:
+def _left_share(heartbeat: Heartbeat, runs: Runs) -> float:
     """Return the part of the worker that tasks other than fillers leave."""
     taken = sum(
         order.processors * (SERVICE_USE if order.target_latency_ms else 1.0)
         for order in runs.order_by_ref.values()
         if not order.is_filler
     )
-    whole = max(beat.capacity.processors, 1e-9)
+    whole = max(heartbeat.capacity.processors, 1e-9)
     return max(1.0 - taken / whole, 0.0)
 
 
-def _fillers(beat: Heartbeat, runs: Runs) -> list[FillerRun]:
-    whole = max(beat.capacity.processors, 1e-9)
+def _fillers(heartbeat: Heartbeat, runs: Runs) -> list[FillerRun]:
+    whole = max(heartbeat.capacity.processors, 1e-9)
     there = {status.ref for status in runs.running}
     there.update(runs.started_by_ref)
     return [
--- a/coltsfoottray/agent/worker.py
+++ b/coltsfoottray/agent/worker.py
@@ -177,7 +177,7 @@
     async def poll(
         self,
         *,
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
         fence: int,
         lease_end_ms: int,
         acknowledged: int,
@@ -199,7 +199,7 @@
     async def start(
         self,
         *,
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
         ref: RunRef,
         payload: str,
         checkpoint: str,
@@ -216,11 +216,11 @@
         """
 
     @abc.abstractmethod
-    async def stop(self, *, beat: Heartbeat, ref: RunRef, fence: int) -> None:
+    async def stop(self, *, heartbeat: Heartbeat, ref: RunRef, fence: int) -> None:
         """End a run; from the answer on it can never start there again."""
 
     @abc.abstractmethod
     async def pace(
-        self, *, beat: Heartbeat, ref: RunRef, percent: int, fence: int
+        self, *, heartbeat: Heartbeat, ref: RunRef, percent: int, fence: int
     ) -> None:
         """Let a run work at a share of its speed."""
--- a/coltsfoottray/daemons/job_attendant.py
+++ b/coltsfoottray/daemons/job_attendant.py
@@ -51,8 +51,8 @@
             clock=self.clock,
             candidates=self._find_entries,
         )
-        self.handlers.add(ORDERS, self.attendant.answer_orders)
-        self.handlers.add(HELLO, reporter.answer_hello)
+        self.handlers.add(ORDERS, self.attendant.handle_orders)
+        self.handlers.add(HELLO, reporter.handle_hello)
         self.register_peer_server()
         handler = HeartbeatHandler(attendant=self.attendant)
         server = self.listeners.http(settings.heartbeats, handler.handle)
--- a/coltsfoottray/platform/heartbeats.py
+++ b/coltsfoottray/platform/heartbeats.py
@@ -29,15 +29,15 @@
             return HttpResponse(status=404)
         instance, verb = match.groups()
         if verb == "deregister":
-            self._attendant.take_leave(instance)
+            self._attendant.handle_deregistration(instance)
             return HttpResponse.of_json({})
-        beat = read_heartbeat(instance, request.body)
-        if isinstance(beat, Failure):
+        heartbeat = read_heartbeat(instance, request.body)
+        if isinstance(heartbeat, Failure):
             log_event(
                 "worker:heartbeat-unreadable",
                 instance=instance,
-                reason=beat.failure(),
+                reason=heartbeat.failure(),
             )
             return HttpResponse(status=400)
-        self._attendant.take_heartbeat(beat.unwrap())
+        self._attendant.handle_heartbeat(heartbeat.unwrap())
         return HttpResponse.of_json({})
--- a/coltsfoottray/platform/instance.py
+++ b/coltsfoottray/platform/instance.py
@@ -86,7 +86,7 @@
     async def poll(  # noqa: D102
         self,
         *,
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
         fence: int,
         lease_end_ms: int,
         acknowledged: int,
@@ -99,23 +99,23 @@
         }
         if lease_end_ms:
             body["untilMs"] = lease_end_ms
-        response = await self._post(beat, "/v1/hold", body, ORDER_TIMEOUT + wait)
+        response = await self._post(heartbeat, "/v1/hold", body, ORDER_TIMEOUT + wait)
         if response.status != 200:
-            raise _failed(beat, f"status {response.status}")
-        lists = _decode(beat, response, _Lists)
+            raise _failed(heartbeat, f"status {response.status}")
+        lists = _decode(heartbeat, response, _Lists)
         return PollReply(
             clock=ClockReading(
                 reading_ms=lists.clockMs, received=self._clock.elapsed()
             ),
-            running=[_as_status(beat, row) for row in lists.running],
-            ends=[_as_end(beat, row) for row in lists.finished],
+            running=[_as_status(heartbeat, row) for row in lists.running],
+            ends=[_as_end(heartbeat, row) for row in lists.finished],
             is_complete=len(lists.finished) < _ENDS_AT_A_TIME,
         )
 
     async def start(  # noqa: D102
         self,
         *,
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
         ref: RunRef,
         payload: str,
         checkpoint: str,
@@ -134,7 +134,7 @@
             body["checkpoint"] = checkpoint
         if ticket:
             body["ticket"] = ticket
-        response = await self._post(beat, "/v1/run-start", body, ORDER_TIMEOUT)
+        response = await self._post(heartbeat, "/v1/run-start", body, ORDER_TIMEOUT)
         if response.status == 200:
             return
         if response.status in _UNHEALTHY:
@@ -142,25 +142,27 @@
         if response.status == 400:
             raise StartRefused(reason=Refusal.INVALID)
         if response.status == 409:
-            reason = _decode(beat, response, _Refused).reason
+            reason = _decode(heartbeat, response, _Refused).reason
             if reason in _REFUSAL_BY_REASON:
                 raise StartRefused(reason=_REFUSAL_BY_REASON[reason])
-        raise _failed(beat, f"status {response.status}: {response.body[:200]!r}")
+        raise _failed(heartbeat, f"status {response.status}: {response.body[:200]!r}")
 
     async def stop(  # noqa: D102
-        self, *, beat: Heartbeat, ref: RunRef, fence: int
+        self, *, heartbeat: Heartbeat, ref: RunRef, fence: int
     ) -> None:
         body: dict[str, object] = {
             "task": str(ref.task),
             "run": ref.run,
             "fencingToken": fence,
         }
-        response = await self._post(beat, "/v1/run-stop", body, ORDER_TIMEOUT)
+        response = await self._post(heartbeat, "/v1/run-stop", body, ORDER_TIMEOUT)
         if response.status != 200:
-            raise _failed(beat, f"status {response.status}: {response.body[:200]!r}")
+            raise _failed(
+                heartbeat, f"status {response.status}: {response.body[:200]!r}"
+            )
 
     async def pace(  # noqa: D102
-        self, *, beat: Heartbeat, ref: RunRef, percent: int, fence: int
+        self, *, heartbeat: Heartbeat, ref: RunRef, percent: int, fence: int
     ) -> None:
         body: dict[str, object] = {
             "task": str(ref.task),
@@ -168,26 +170,30 @@
             "percent": percent,
             "fencingToken": fence,
         }
-        response = await self._post(beat, "/v1/pace", body, ORDER_TIMEOUT)
+        response = await self._post(heartbeat, "/v1/pace", body, ORDER_TIMEOUT)
         if response.status != 200:
-            raise _failed(beat, f"status {response.status}: {response.body[:200]!r}")
+            raise _failed(
+                heartbeat, f"status {response.status}: {response.body[:200]!r}"
+            )
 
     async def _post(
-        self, beat: Heartbeat, path: str, body: object, timeout: timedelta
+        self, heartbeat: Heartbeat, path: str, body: object, timeout: timedelta
     ) -> HttpResponse:
         request = HttpRequest(
             method="POST",
             target=path,
             header_by_name={
                 "content-type": "application/json",
-                "expect-instance": beat.life.split("/")[0],
+                "expect-instance": heartbeat.life.split("/")[0],
             },
             body=msgspec.json.encode(body),
         )
-        response = await self._transport.send(beat.address, request, timeout=timeout)
+        response = await self._transport.send(
+            heartbeat.address, request, timeout=timeout
+        )
         if response.status == _REPLACED:
-            raise WorkerReplaced(life=beat.life, takes_orders=False)
-        _check_life(beat, response)
+            raise WorkerReplaced(life=heartbeat.life, takes_orders=False)
+        _check_life(heartbeat, response)
         return response
 
 
@@ -198,28 +204,28 @@
     and the moment of its start.
     """
     try:
-        beat = msgspec.json.decode(body, type=_Beat)
+        heartbeat = msgspec.json.decode(body, type=_Beat)
     except msgspec.DecodeError as error:
         return Failure(str(error))
-    host, _, port = beat.address.rpartition(":")
+    host, _, port = heartbeat.address.rpartition(":")
     if not host or not port.isdigit():
         return Failure(f"address: got {beat.address!r}, expected IP:port")
-    if beat.state not in ("ready", "draining"):
+    if heartbeat.state not in ("ready", "draining"):
         return Failure(f"state: got {beat.state!r}, expected ready or draining")
     return Success(
         Heartbeat(
             life=f"{instance}/{beat.born}",
-            born_ms=beat.born,
-            service=beat.service,
+            born_ms=heartbeat.born,
+            service=heartbeat.service,
             address=Address(host=host, port=int(port)),
-            data_centre=beat.zone,
-            capacity=_as_resources(beat.capacity),
-            labels=beat.labels,
+            data_centre=heartbeat.zone,
+            capacity=_as_resources(heartbeat.capacity),
+            labels=heartbeat.labels,
             # The labels are the worker's kind, then its rack.
-            rack=beat.labels[1] if len(beat.labels) > 1 else "",
-            is_draining=beat.state == "draining",
-            remaining=timedelta(milliseconds=beat.remainingMs),
-            sequence=beat.sequence,
+            rack=heartbeat.labels[1] if len(heartbeat.labels) > 1 else "",
+            is_draining=heartbeat.state == "draining",
+            remaining=timedelta(milliseconds=heartbeat.remainingMs),
+            sequence=heartbeat.sequence,
         )
     )
 
@@ -228,7 +234,7 @@
     born: int = 0
 
 
-def _check_life(beat: Heartbeat, response: HttpResponse) -> None:
+def _check_life(heartbeat: Heartbeat, response: HttpResponse) -> None:
     """Guard against a new life under the same id.
 
     Its lists would be read as those of the life before: ends numbered anew, and
@@ -238,9 +244,9 @@
     try:
         born = msgspec.json.decode(response.body or b"{}", type=_Born).born
     except msgspec.DecodeError as error:
-        raise _failed(beat, str(error)) from error
-    if born and f"/{born}" != beat.life[beat.life.rfind("/") :]:
-        raise WorkerReplaced(life=beat.life, takes_orders=True)
+        raise _failed(heartbeat, str(error)) from error
+    if born and f"/{born}" != heartbeat.life[heartbeat.life.rfind("/") :]:
+        raise WorkerReplaced(life=heartbeat.life, takes_orders=True)
 
 
 def _as_resources(capacity: _Capacity) -> Resources:
@@ -251,7 +257,7 @@
     )
 
 
-def _as_status(beat: Heartbeat, row: Sequence[object]) -> RunStatus:
+def _as_status(heartbeat: Heartbeat, row: Sequence[object]) -> RunStatus:
     try:
         task, run, saved, percent, *rest = row
         return RunStatus(
@@ -261,10 +267,10 @@
             figure=_as_float(rest[0]) if rest else 0.0,
         )
     except (ValueError, TypeError) as error:
-        raise _failed(beat, f"row {row!r}: {error}") from error
+        raise _failed(heartbeat, f"row {row!r}: {error}") from error
 
 
-def _as_end(beat: Heartbeat, row: Sequence[object]) -> RunEnd:
+def _as_end(heartbeat: Heartbeat, row: Sequence[object]) -> RunEnd:
     try:
         number, task, run, how, saved, *_ = row
         return RunEnd(
@@ -274,7 +280,7 @@
             checkpoint=str(saved),
         )
     except (ValueError, TypeError, KeyError) as error:
-        raise _failed(beat, f"row {row!r}: {error}") from error
+        raise _failed(heartbeat, f"row {row!r}: {error}") from error
 
 
 def _as_ref(task: str, run: object) -> RunRef:
@@ -291,14 +297,14 @@
     raise TypeError(f"got {value!r}, expected a number")
 
 
-def _decode(beat: Heartbeat, response: HttpResponse, kind: type[T]) -> T:
+def _decode(heartbeat: Heartbeat, response: HttpResponse, kind: type[T]) -> T:
     try:
         return msgspec.json.decode(response.body, type=kind)
     except msgspec.DecodeError as error:
-        raise _failed(beat, str(error)) from error
+        raise _failed(heartbeat, str(error)) from error
 
 
-def _failed(beat: Heartbeat, detail: str) -> CommunicationError:
+def _failed(heartbeat: Heartbeat, detail: str) -> CommunicationError:
     return CommunicationError(
         step=Step.DECODE, peer=f"worker {beat.life} at {beat.address}", detail=detail
     )
