--- a/coltsfoottray/platform/instance.py
+++ b/coltsfoottray/platform/instance.py
@@ -209,12 +209,12 @@
         return Failure(str(error))
     host, _, port = heartbeat.address.rpartition(":")
     if not host or not port.isdigit():
-        return Failure(f"address: got {beat.address!r}, expected IP:port")
+        return Failure(f"address: got {heartbeat.address!r}, expected IP:port")
     if heartbeat.state not in ("ready", "draining"):
-        return Failure(f"state: got {beat.state!r}, expected ready or draining")
+        return Failure(f"state: got {heartbeat.state!r}, expected ready or draining")
     return Success(
         Heartbeat(
-            life=f"{instance}/{beat.born}",
+            life=f"{instance}/{heartbeat.born}",
             born_ms=heartbeat.born,
             service=heartbeat.service,
             address=Address(host=host, port=int(port)),
@@ -306,5 +306,7 @@
 
 def _failed(heartbeat: Heartbeat, detail: str) -> CommunicationError:
     return CommunicationError(
-        step=Step.DECODE, peer=f"worker {beat.life} at {beat.address}", detail=detail
+        step=Step.DECODE,
+        peer=f"worker {heartbeat.life} at {heartbeat.address}",
+        detail=detail,
     )
