--- a/benchmarks/pressures.py
+++ b/benchmarks/pressures.py
@@ -13,7 +13,7 @@
 from random import Random
 
 from coltsfoottray.agent.learning import Observation, PressureLearner
-from coltsfoottray.agent.pressure import LIGHT_PRESSURE
+from coltsfoottray.agent.pressure import MAX_LIGHT_PRESSURE
 from standins.interference import LOOK_S, InterferedService
 
 _SEEDS = 40
@@ -72,7 +72,7 @@
     right = 0
     for image, pressure in _PRESSURE_BY_IMAGE.items():
         learner = _play(Random(seed), _SETTLED_S + after_s, _SETTLED_S, {image: _SHARE})
-        is_light = learner.pressure(image, "svc").value < LIGHT_PRESSURE
+        is_light = learner.pressure(image, "svc").value < MAX_LIGHT_PRESSURE
         right += is_light == (pressure < 1.0)
     return right
 
--- a/coltsfoottray/agent/pacing.py
+++ b/coltsfoottray/agent/pacing.py
@@ -14,16 +14,16 @@
 from datetime import timedelta
 
 from coltsfoottray.agent.learning import Observation, PressureLearner
-from coltsfoottray.agent.pressure import LIGHT_PRESSURE, ServiceMargin
+from coltsfoottray.agent.pressure import MAX_LIGHT_PRESSURE, ServiceMargin
 from coltsfoottray.jobs.model import RunRef
 from coltsfoottray.logs import log_event
 
-__all__ = ["FULL", "KEPT_MARGIN", "FillerRun", "Pacer", "is_worth_an_order"]
+__all__ = ["FULL_SPEED", "SAFETY_MARGIN", "FillerRun", "Pacer", "is_worth_an_order"]
 
-FULL = 100
+FULL_SPEED = 100
 
 # The margin that services keep: what is expected of one is never quite right.
-KEPT_MARGIN = 1.4
+SAFETY_MARGIN = 1.4
 # What light fillers leave to a service that has been over its target, until its load
 # has fallen: several of them, each too weak to be noticed, take a whole margin together
 # at a peak of the load.
@@ -63,7 +63,7 @@
         fillers: Sequence[FillerRun],
         now: timedelta,
         *,
-        left: float,
+        available_share: float,
     ) -> dict[RunRef, int]:
         """Return the speed of each filler from now on.
 
@@ -76,12 +76,12 @@
         self._note_over(observations, now)
         self._pressed &= {each.service for each in observations}
         wanted = sum(filler.share for filler in fillers)
-        scale = min(1.0, left / wanted) if wanted > 0 else 1.0
+        scale = min(1.0, available_share / wanted) if wanted > 0 else 1.0
         full_by_image: dict[str, float] = {}
         for filler in fillers:
             share = full_by_image.get(filler.image, 0.0)
             full_by_image[filler.image] = share + filler.share * scale
-        percent_by_image = dict.fromkeys(full_by_image, FULL)
+        percent_by_image = dict.fromkeys(full_by_image, FULL_SPEED)
         for observation in observations:
             allowed = self._allow(observation, full_by_image)
             for image, percent in allowed.items():
@@ -140,21 +140,21 @@
         heavy_by_image: dict[str, float] = {}
         for image, share in full_by_image.items():
             pressure = self._learner.pressure(image, observation.image)
-            cautious = pressure.cautious(_CAUTION)
-            if cautious < LIGHT_PRESSURE:
-                light_by_image[image] = cautious * share
+            upper_bound = pressure.upper_bound(_CAUTION)
+            if upper_bound < MAX_LIGHT_PRESSURE:
+                light_by_image[image] = upper_bound * share
             else:
-                heavy_by_image[image] = cautious * share
+                heavy_by_image[image] = upper_bound * share
         margin = self._learner.undisturbed(observation)
         light = sum(light_by_image.values())
         light_percent = self._percent_of_light(observation, light, margin)
         allowed = dict.fromkeys(light_by_image, light_percent)
         heavy = sum(heavy_by_image.values())
-        percent = _percent(heavy, margin - KEPT_MARGIN - light)
+        percent = _percent(heavy, margin - SAFETY_MARGIN - light)
         for image in heavy_by_image:
             allowed[image] = percent
             if observation.margin <= 1.0:
-                before = self._percent_by_image.get(image, FULL)
+                before = self._percent_by_image.get(image, FULL_SPEED)
                 allowed[image] = min(percent, max(before // 2, _CRAWL))
         return allowed
 
@@ -169,21 +169,21 @@
         percent = _percent(light, margin - _LEAST_MARGIN)
         if observation.margin <= 1.0:
             self._pressed.add(observation.service)
-        elif percent == FULL:
+        elif percent == FULL_SPEED:
             self._pressed.discard(observation.service)
-        return percent if observation.service in self._pressed else FULL
+        return percent if observation.service in self._pressed else FULL_SPEED
 
 
 def _percent(wanted: float, spare: float) -> int:
     """Return the speed, in percent, that takes no more of a margin than is to spare."""
     spare = max(spare, 0.0)
     if wanted <= spare:
-        return FULL
-    return max(int(spare / wanted * FULL), _CRAWL)
+        return FULL_SPEED
+    return max(int(spare / wanted * FULL_SPEED), _CRAWL)
 
 
 def is_worth_an_order(before: int, percent: int) -> bool:
     """Whether a change of speed matters: it stops, restores, or is by a tenth."""
-    if percent in (0, FULL) or before == 0:
+    if percent in (0, FULL_SPEED) or before == 0:
         return percent != before
     return abs(percent - before) * 10 >= before
--- a/coltsfoottray/agent/pressure.py
+++ b/coltsfoottray/agent/pressure.py
@@ -16,7 +16,7 @@
 import msgspec
 
 __all__ = [
-    "LIGHT_PRESSURE",
+    "MAX_LIGHT_PRESSURE",
     "SERVICE_USE",
     "UNKNOWN",
     "Estimate",
@@ -31,7 +31,7 @@
 SERVICE_USE = 0.5
 
 # A pair that presses less is light: slowing such fillers would gain services little.
-LIGHT_PRESSURE = 4.0
+MAX_LIGHT_PRESSURE = 4.0
 
 # What several workers have learned differs by more than their own figures say: they
 # have learned from one another as well.
@@ -83,7 +83,7 @@
     value: float
     spread: float
 
-    def cautious(self, spreads: float) -> float:
+    def upper_bound(self, spreads: float) -> float:
         """Return a pressure that the true one is unlikely to exceed."""
         return max(self.value + spreads * self.spread, 0.0)
 
@@ -99,7 +99,7 @@
         self._by_observer: dict[str, list[Pressure]] = {}
         self._estimate_by_pair: dict[ImagePair, Estimate] = {}
 
-    def take(self, observer: str, pressures: list[Pressure]) -> None:
+    def update(self, observer: str, pressures: list[Pressure]) -> None:
         """Replace what one observer knows."""
         if self._by_observer.get(observer) == pressures:
             return
--- a/coltsfoottray/agent/speeds.py
+++ b/coltsfoottray/agent/speeds.py
@@ -5,7 +5,7 @@
 import trio
 
 from coltsfoottray.agent.learning import Observation, PressureLearner
-from coltsfoottray.agent.pacing import FULL, FillerRun, Pacer, is_worth_an_order
+from coltsfoottray.agent.pacing import FULL_SPEED, FillerRun, Pacer, is_worth_an_order
 from coltsfoottray.agent.pressure import SERVICE_USE, Pressure, ServiceMargin
 from coltsfoottray.agent.runs import Runs
 from coltsfoottray.agent.worker import Heartbeat, WorkerLink, WorkerReplaced
@@ -68,7 +68,7 @@
             observations,
             fillers,
             self._clock.elapsed(),
-            left=_left_share(heartbeat, runs),
+            available_share=_left_share(heartbeat, runs),
         )
         self.percent_by_ref = {
             ref: percent
@@ -77,7 +77,7 @@
         }
         async with trio.open_nursery() as nursery:
             for ref, percent in percent_by_ref.items():
-                if is_worth_an_order(self.percent_by_ref.get(ref, FULL), percent):
+                if is_worth_an_order(self.percent_by_ref.get(ref, FULL_SPEED), percent):
                     nursery.start_soon(self._set_speed, heartbeat, ref, percent, fence)
 
     def _observe(self, heartbeat: Heartbeat, runs: Runs) -> list[Observation]:
--- a/coltsfoottray/scheduler/board.py
+++ b/coltsfoottray/scheduler/board.py
@@ -108,7 +108,7 @@
         self._take_stalls(worker, report.stalled, now)
         for rejected in report.rejected:
             self._take_rejection(worker, rejected, now, now_ms)
-        self.pressures.take(worker.id, report.pressures)
+        self.pressures.update(worker.id, report.pressures)
         worker.strays.clear()
         for status in report.running:
             placed = worker.held_by_ref.get(status.ref)
--- a/coltsfoottray/scheduler/strain.py
+++ b/coltsfoottray/scheduler/strain.py
@@ -8,9 +8,9 @@
 
 from dataclasses import dataclass
 
-from coltsfoottray.agent.pacing import KEPT_MARGIN
+from coltsfoottray.agent.pacing import SAFETY_MARGIN
 from coltsfoottray.agent.pressure import (
-    LIGHT_PRESSURE,
+    MAX_LIGHT_PRESSURE,
     PressureTable,
     ServiceMargin,
 )
@@ -116,7 +116,7 @@
 
     def speed(self, more: float) -> float:
         """Return how fast a filler works if `more` is taken than now."""
-        spare = max(self.margin.usual - KEPT_MARGIN - self.light, 0.0)
+        spare = max(self.margin.usual - SAFETY_MARGIN - self.light, 0.0)
         wanted = more if self.is_light else self.heavy + more
         return 1.0 if wanted <= spare else spare / wanted
 
@@ -134,8 +134,8 @@
     light = heavy = worst = 0.0
     for image, share in worker.filler_share_by_image.items():
         pressure = pressures.get(image, service)
-        worst += pressure.cautious(_START_CAUTION) * share
-        if pressure.value < LIGHT_PRESSURE:
+        worst += pressure.upper_bound(_START_CAUTION) * share
+        if pressure.value < MAX_LIGHT_PRESSURE:
             light += pressure.value * share
         else:
             heavy += pressure.value * share
@@ -143,12 +143,12 @@
     share = worker.share_of(spec.demand.processors)
     margin = worker.margin_by_image.get(service, _UNKNOWN_MARGIN)
     # Heavy ones are slowed to what leaves the kept margin.
-    worst = min(worst, max(margin.now - KEPT_MARGIN, light))
+    worst = min(worst, max(margin.now - SAFETY_MARGIN, light))
     return _Strain(
         own=pressure.value * share,
-        is_light=pressure.value < LIGHT_PRESSURE,
+        is_light=pressure.value < MAX_LIGHT_PRESSURE,
         light=light,
         heavy=heavy,
-        worst=worst + pressure.cautious(_START_CAUTION) * share,
+        worst=worst + pressure.upper_bound(_START_CAUTION) * share,
         margin=margin,
     )
--- a/tests/steps/pressure_steps.py
+++ b/tests/steps/pressure_steps.py
@@ -9,8 +9,8 @@
 from behave import given, step, then
 
 from coltsfoottray.agent.learning import Observation, PressureLearner
-from coltsfoottray.agent.pacing import FULL, FillerRun, Pacer
-from coltsfoottray.agent.pressure import LIGHT_PRESSURE
+from coltsfoottray.agent.pacing import FULL_SPEED, FillerRun, Pacer
+from coltsfoottray.agent.pressure import MAX_LIGHT_PRESSURE
 from coltsfoottray.jobs.model import JobId, RunRef, TaskRef
 from standins.interference import LOOK_S, InterferedService
 
@@ -72,8 +72,8 @@
     context.looks += 1
     share_by_image = Counter()
     for filler in context.fillers:
-        percent = context.percent_by_ref.get(filler.ref, FULL)
-        share_by_image[filler.image] += filler.share * percent / FULL
+        percent = context.percent_by_ref.get(filler.ref, FULL_SPEED)
+        share_by_image[filler.image] += filler.share * percent / FULL_SPEED
     observations = [
         Observation(
             service=f"s{number}",
@@ -87,7 +87,7 @@
     now = timedelta(seconds=now_s)
     context.learner.learn(observations, share_by_image, now)
     context.percent_by_ref = context.pacer.adjust(
-        observations, context.fillers, now, left=1.0
+        observations, context.fillers, now, available_share=1.0
     )
     context.margins += [each.margin for each in observations]
     for filler in context.fillers:
@@ -98,7 +98,7 @@
 @then('"{image}" is known to be {kind}')
 def check_kind(context, image, kind):
     value = context.learner.pressure(image, _SERVICE).value
-    assert (value < LIGHT_PRESSURE) == (kind == "light"), value
+    assert (value < MAX_LIGHT_PRESSURE) == (kind == "light"), value
 
 
 @then('fillers of "{image}" were at full speed from the {second:d}th second on')
@@ -106,7 +106,7 @@
     slowed = [
         each
         for each in context.percents_by_image[image]
-        if each[0] >= second and each[1] < FULL
+        if each[0] >= second and each[1] < FULL_SPEED
     ]
     assert not slowed, slowed
 
