--- a/coltsfoottray/daemons/job_entry.py
+++ b/coltsfoottray/daemons/job_entry.py
@@ -11,8 +11,8 @@
 from coltsfoottray.daemons.common import HTTP_SERVER
 from coltsfoottray.daemons.job_common import JobDaemon
 from coltsfoottray.http import HttpRequest, HttpResponse
+from coltsfoottray.jobs.api import JobApi
 from coltsfoottray.jobs.config import ConfigHolder
-from coltsfoottray.jobs.intake import Intake
 from coltsfoottray.jobs.keys import (
     CONFIG_KEY,
     JOBS_GROUP,
@@ -115,7 +115,7 @@
         relay = Relay(table=settings.table, transport=self.transport)
         self.handlers.add(RELAY, relay.answer)
         self._background = Background()
-        intake = Intake(
+        job_api = JobApi(
             table=self.table,
             mirror=self._jobs_mirror,
             view=self.view,
@@ -124,7 +124,7 @@
             metrics=self.metrics,
         )
         ingress = JobIngress(
-            holder=self.holder, intake=intake, spawn=self._background.spawn
+            holder=self.holder, job_api=job_api, spawn=self._background.spawn
         )
         self._register_services(settings, ingress)
 
--- a/coltsfoottray/jobs/intake.py
+++ b/coltsfoottray/jobs/api.py
@@ -26,7 +26,7 @@
 from coltsfoottray.platform import Put, TableUnavailable, Transaction, WatchedTable
 from coltsfoottray.scheduler.service import Scheduler
 
-__all__ = ["Intake", "JobAnswer", "Verdict"]
+__all__ = ["JobAnswer", "JobApi", "Verdict"]
 
 # The table's refusals pass in a fraction of a second, its outages take seconds.
 _RETRY = timedelta(milliseconds=100)
@@ -71,16 +71,16 @@
 
     verdict: Verdict
     state: JobState | None = None
-    come_back: timedelta | None = None
+    retry_after: timedelta | None = None
 
 
 _DONE = JobAnswer(verdict=Verdict.DONE)
-_NOT_DONE = JobAnswer(verdict=Verdict.NOT_DONE, come_back=_COME_BACK)
+_NOT_DONE = JobAnswer(verdict=Verdict.NOT_DONE, retry_after=_COME_BACK)
 _UNKNOWN = JobAnswer(verdict=Verdict.UNKNOWN)
 _NO_JOB = JobAnswer(verdict=Verdict.NO_JOB)
 
 
-class Intake:
+class JobApi:
     """Answers callers from the table, the view of it and the scheduler."""
 
     def __init__(
@@ -117,7 +117,7 @@
         )
         put = Put.of(accepted_key(job_id), 0, job)
         answer = await self._write(Transaction(puts=[put]), deadline)
-        answer = self._mind_earlier(job_id, answer)
+        answer = self._apply_earlier_outcome(job_id, answer)
         log_event(
             "decision:submit",
             job=job_id,
@@ -133,7 +133,7 @@
             self._view.job_by_id.setdefault(job_id, job)
         return answer
 
-    def _mind_earlier(self, job_id: JobId, answer: JobAnswer) -> JobAnswer:
+    def _apply_earlier_outcome(self, job_id: JobId, answer: JobAnswer) -> JobAnswer:
         """Return what can be said of a job, given what was said of it before.
 
         The write of an earlier attempt may have taken effect, or may still. That the
@@ -149,7 +149,7 @@
             return _UNKNOWN
         return answer
 
-    async def tell(self, job_id: JobId) -> None:
+    async def notify_scheduler(self, job_id: JobId) -> None:
         """Let the scheduler know of a job accepted here."""
         job = self._view.job_by_id.get(job_id)
         if job is not None:
--- a/coltsfoottray/platform/ingress.py
+++ b/coltsfoottray/platform/ingress.py
@@ -11,8 +11,8 @@
 
 from coltsfoottray.errors import InputError
 from coltsfoottray.http import HttpRequest, HttpResponse
+from coltsfoottray.jobs.api import JobAnswer, JobApi, Verdict
 from coltsfoottray.jobs.config import ConfigHolder, Queue
-from coltsfoottray.jobs.intake import Intake, JobAnswer, Verdict
 from coltsfoottray.jobs.model import JobId, JobSpec, Repetition, StepSpec
 from coltsfoottray.types import Resources
 
@@ -74,11 +74,11 @@
         self,
         *,
         holder: ConfigHolder,
-        intake: Intake,
+        job_api: JobApi,
         spawn: Callable[[Callable[[], Awaitable[None]]], None],
     ) -> None:
         self._holder = holder
-        self._intake = intake
+        self._job_api = job_api
         self._spawn = spawn
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
@@ -91,7 +91,7 @@
             return HttpResponse(status=404)
         name = request.path[len(queue.path_prefix) :]
         if not name and request.method == "GET":
-            return HttpResponse.of_json({"pending": self._intake.pending(queue)})
+            return HttpResponse.of_json({"pending": self._job_api.pending(queue)})
         if not _JOB_ID.fullmatch(name):
             return _as_response(JobAnswer(verdict=Verdict.NO_JOB))
         return await self._handle_job(request, queue, JobId(name))
@@ -102,14 +102,14 @@
         deadline = _deadline(request, queue)
         if request.method == "POST":
             spec = _read_job(request)
-            answer = await self._intake.submit(queue, job_id, spec, deadline=deadline)
+            answer = await self._job_api.submit(queue, job_id, spec, deadline=deadline)
             if answer.verdict is Verdict.DONE:
-                self._spawn(lambda: self._intake.tell(job_id))
+                self._spawn(lambda: self._job_api.notify_scheduler(job_id))
             return _as_response(answer)
         if request.method == "DELETE":
-            return _as_response(await self._intake.cancel(job_id, deadline=deadline))
+            return _as_response(await self._job_api.cancel(job_id, deadline=deadline))
         if request.method == "GET":
-            return _as_response(await self._intake.state(job_id))
+            return _as_response(await self._job_api.state(job_id))
         return HttpResponse(status=405)
 
 
@@ -176,14 +176,14 @@
 
 
 def _as_response(answer: JobAnswer) -> HttpResponse:
-    if answer.verdict is Verdict.NOT_DONE and answer.come_back is not None:
-        return _refused(answer.come_back)
+    if answer.verdict is Verdict.NOT_DONE and answer.retry_after is not None:
+        return _refused(answer.retry_after)
     status = _STATUS_BY_VERDICT[answer.verdict]
     if answer.state is not None:
         return HttpResponse.of_json({"state": answer.state.value}, status=status)
     return HttpResponse(status=status)
 
 
-def _refused(come_back: timedelta) -> HttpResponse:
-    seconds = max(1, math.ceil(come_back.total_seconds()))
+def _refused(retry_after: timedelta) -> HttpResponse:
+    seconds = max(1, math.ceil(retry_after.total_seconds()))
     return HttpResponse(status=503, header_by_name={"retry-after": str(seconds)})
--- a/properties/planted.py
+++ b/properties/planted.py
@@ -11,7 +11,7 @@
 from msgspec.structs import replace
 
 from coltsfoottray.claims import Claim, Claims, Taking, TakingOutcome
-from coltsfoottray.jobs.intake import Intake, JobAnswer, Verdict
+from coltsfoottray.jobs.api import JobAnswer, JobApi, Verdict
 from coltsfoottray.jobs.model import JobId
 from coltsfoottray.leases import LeaseObserver
 from coltsfoottray.lists import Edit, ListEditor, apply_change
@@ -166,15 +166,15 @@
 @contextmanager
 def refusals_without_proof() -> Iterator[None]:
     """Let entries refuse a job whose row may stand, as one that will never run."""
-    mind = Intake._mind_earlier
+    mind = JobApi._apply_earlier_outcome
 
-    def refuse(self: Intake, job_id: JobId, answer: JobAnswer) -> JobAnswer:
+    def refuse(self: JobApi, job_id: JobId, answer: JobAnswer) -> JobAnswer:
         minded = mind(self, job_id, answer)
         if minded.verdict is Verdict.UNKNOWN:
-            return JobAnswer(verdict=Verdict.NOT_DONE, come_back=timedelta(seconds=1))
+            return JobAnswer(verdict=Verdict.NOT_DONE, retry_after=timedelta(seconds=1))
         return minded
 
-    with mock.patch.object(Intake, "_mind_earlier", refuse):
+    with mock.patch.object(JobApi, "_apply_earlier_outcome", refuse):
         yield
 
 
