--- a/coltsfoottray/cli/common.py
+++ b/coltsfoottray/cli/common.py
@@ -11,7 +11,7 @@
 
 from coltsfoottray.errors import CommunicationError
 from coltsfoottray.http import HttpClient, HttpRequest, HttpResponse
-from coltsfoottray.settings.models import as_address
+from coltsfoottray.settings.models import parse_address
 from coltsfoottray.types import Address
 
 __all__ = ["EntryOption", "ask", "fail", "read_address"]
@@ -32,7 +32,7 @@
 def read_address(text: str) -> Address:
     """Return an address given on the command line."""
     try:
-        return as_address(text)
+        return parse_address(text)
     except ValueError as error:
         fail(f"--entry: {error}", code=2)
 
--- a/coltsfoottray/settings/models.py
+++ b/coltsfoottray/settings/models.py
@@ -25,7 +25,7 @@
 _MAX_PORT = 65535
 
 
-def as_address(value: Any) -> Address:
+def parse_address(value: Any) -> Address:
     """Return `value`, "IP:port", as an address."""
     if isinstance(value, Address):
         return value
@@ -35,9 +35,9 @@
     return Address(host=host, port=int(port))
 
 
-AddressField = Annotated[Any, BeforeValidator(as_address)]
+AddressField = Annotated[Any, BeforeValidator(parse_address)]
 OptionalAddress = Annotated[
-    Any, BeforeValidator(lambda value: None if value is None else as_address(value))
+    Any, BeforeValidator(lambda value: None if value is None else parse_address(value))
 ]
 Seconds = Annotated[float, Field(gt=0)]
 
@@ -234,7 +234,7 @@
     heartbeats: AddressField
 
 
-class ServiceShape(_Model):
+class ServiceSettings(_Model):
     """The instances of a deployment's service."""
 
     instances: int = Field(gt=0)
@@ -242,7 +242,7 @@
     connections: int = Field(gt=0)
 
 
-class WorkerShape(_Model):
+class WorkerPoolSettings(_Model):
     """The workers of a deployment."""
 
     count: int = Field(ge=0)
@@ -252,7 +252,7 @@
     per_rack: int = Field(gt=0)
 
 
-class AllowanceLine(_Model):
+class AllowanceSettings(_Model):
     """One line of the allowances as a deployment begins."""
 
     processors: float = Field(ge=0)
@@ -273,9 +273,9 @@
     name: str
     data_centres: list[str] = Field(min_length=1)
     entries: int = Field(gt=0)
-    service: ServiceShape
-    workers: WorkerShape
+    service: ServiceSettings
+    workers: WorkerPoolSettings
     plans: dict[str, str]
-    allowances: dict[str, AllowanceLine]
+    allowances: dict[str, AllowanceSettings]
     default_plan: str
     timing: TimingSettings = TimingSettings()
