--- a/coltsfoottray/claims/service.py
+++ b/coltsfoottray/claims/service.py
@@ -40,7 +40,7 @@
     Transaction,
 )
 from coltsfoottray.platform.common import ABSENT
-from coltsfoottray.platform.settle import commit_settled
+from coltsfoottray.platform.retry import commit_with_retry
 from coltsfoottray.requests import Place
 from coltsfoottray.types import EntryId, Incarnation, RequestId
 
@@ -336,7 +336,7 @@
         own_row = Check(
             key=MEMBER_PREFIX + self._entry, version=self._members.row_version
         )
-        outcome = await commit_settled(
+        outcome = await commit_with_retry(
             self._table,
             Transaction(puts=[Put.of(key, version, claim)], checks=[own_row]),
             clock=self._clock,
--- a/coltsfoottray/daemons/job_common.py
+++ b/coltsfoottray/daemons/job_common.py
@@ -20,7 +20,7 @@
 )
 from coltsfoottray.daemons.listeners import ListenerFactory, SocketListeners
 from coltsfoottray.http import HttpClient, HttpTransport
-from coltsfoottray.jobs.members import MemberBook, MemberRow, Registration
+from coltsfoottray.jobs.members import MemberDirectory, MemberRow, Registration
 from coltsfoottray.kernel import Kernel, ServiceName
 from coltsfoottray.logs import log_event
 from coltsfoottray.membership import make_incarnation
@@ -29,7 +29,7 @@
 from coltsfoottray.peers.http import HttpPeerClient, HttpPeerHandler
 from coltsfoottray.peers.relay import RelayTransport
 from coltsfoottray.platform import WatchedTable
-from coltsfoottray.platform.rows import RowsTable
+from coltsfoottray.platform.metadata_table import MetadataTable
 from coltsfoottray.settings import JobDaemonSettings
 from coltsfoottray.types import Address, Role
 
@@ -65,7 +65,7 @@
         self.peers = self.kernel.find(PEERS, PeerClient)
         self.kernel.register(RANDOM, Random(secrets.randbits(64)))
         self.random = self.kernel.find(RANDOM, Random)
-        self.members = MemberBook(
+        self.members = MemberDirectory(
             own=settings.peers,
             seeds=[
                 Address(host=seed.host, port=settings.peers.port)
@@ -79,7 +79,7 @@
             clock=self.clock,
             random=self.random,
         )
-        table = RowsTable(
+        table = MetadataTable(
             address=settings.table,
             transport=round_about,
             clock=self.clock,
@@ -131,6 +131,6 @@
             incarnation=self.incarnation,
         )
         service = Registration(
-            member=member, table=self.table, book=self.members, clock=self.clock
+            member=member, table=self.table, directory=self.members, clock=self.clock
         )
         self.kernel.register(_REGISTRATION, service)
--- a/coltsfoottray/daemons/job_entry.py
+++ b/coltsfoottray/daemons/job_entry.py
@@ -20,7 +20,7 @@
     OPERATOR_GROUP,
     is_scheduler_key,
     job_of,
-    job_shards,
+    job_shard_prefixes,
 )
 from coltsfoottray.jobs.mirror import Mirror
 from coltsfoottray.jobs.view import JobsView
@@ -30,7 +30,7 @@
 from coltsfoottray.platform import Row
 from coltsfoottray.platform.advice import AdviceClient
 from coltsfoottray.platform.ingress import JobIngress
-from coltsfoottray.platform.operator import read_config
+from coltsfoottray.platform.operator import parse_config
 from coltsfoottray.scheduler.advice import Adviser
 from coltsfoottray.scheduler.lease import LeaseRow, LeaseWatch
 from coltsfoottray.scheduler.service import Scheduler
@@ -90,7 +90,7 @@
         self._jobs_mirror = Mirror(
             table=self.table,
             group=JOBS_GROUP,
-            prefixes=job_shards(),
+            prefixes=job_shard_prefixes(),
             on_row=self._take_job_row,
             clock=self.clock,
             metrics=self.metrics,
@@ -175,11 +175,11 @@
     def _take_operator_row(self, row: Row) -> None:
         if row.key != CONFIG_KEY or row.is_deleted:
             return
-        config = read_config(row.value)
+        config = parse_config(row.value)
         if isinstance(config, Failure):
             log_event("config:unreadable", version=row.version, reason=config.failure())
             return
-        if self.holder.offer(config.unwrap()):
+        if self.holder.replace_if_newer(config.unwrap()):
             self.metrics.gauge("config_version", self.holder.current.version)
             log_event(
                 "config:in-force",
@@ -194,7 +194,7 @@
             if not row.is_deleted:
                 self._watch.see(row.decode(LeaseRow), row.version)
             return
-        self.view.take(row)
+        self.view.apply(row)
         if row.is_deleted or is_scheduler_key(row.key):
             return
         job_id = job_of(row.key)
--- a/coltsfoottray/jobs/api.py
+++ b/coltsfoottray/jobs/api.py
@@ -196,7 +196,7 @@
         row = await self._table.get(accepted_key(job_id))
         if row is None:
             return False
-        self._view.take(row)
+        self._view.apply(row)
         return True
 
     async def _write(self, transaction: Transaction, deadline: timedelta) -> JobAnswer:
--- a/coltsfoottray/jobs/config.py
+++ b/coltsfoottray/jobs/config.py
@@ -72,7 +72,7 @@
         self.current = NO_CONFIG
         self.terms_by_queue: dict[str, QueueTerms] = {}
 
-    def offer(self, config: SiteConfig) -> bool:
+    def replace_if_newer(self, config: SiteConfig) -> bool:
         """Take `config` if it is newer; return whether it was."""
         if config.version <= self.current.version:
             return False
@@ -80,6 +80,6 @@
         self.terms_by_queue = {queue.name: queue.terms for queue in config.queues}
         return True
 
-    def terms_of(self, queue: str, *, otherwise: QueueTerms) -> QueueTerms:
-        """Return a queue's present terms, or `otherwise` once it is gone."""
-        return self.terms_by_queue.get(queue, otherwise)
+    def terms_of(self, queue: str, *, default: QueueTerms) -> QueueTerms:
+        """Return a queue's present terms, or `default` once it is gone."""
+        return self.terms_by_queue.get(queue, default)
--- a/coltsfoottray/jobs/keys.py
+++ b/coltsfoottray/jobs/keys.py
@@ -24,7 +24,7 @@
     "cancel_key",
     "is_scheduler_key",
     "job_of",
-    "job_shards",
+    "job_shard_prefixes",
     "member_key",
     "record_key",
     "summary_key",
@@ -78,7 +78,7 @@
     return "/scheduler/" in key
 
 
-def job_shards() -> list[str]:
+def job_shard_prefixes() -> list[str]:
     """Return the prefix of each shard of the jobs' rows, the scheduler's last."""
     shards = [f"{JOBS_GROUP}/j{number}/" for number in range(_JOB_SHARDS)]
     return [*shards, f"{JOBS_GROUP}/scheduler/"]
--- a/coltsfoottray/jobs/members.py
+++ b/coltsfoottray/jobs/members.py
@@ -15,7 +15,7 @@
 from coltsfoottray.platform import Put, TableUnavailable, Transaction, WatchedTable
 from coltsfoottray.types import Address, Role
 
-__all__ = ["MemberBook", "MemberRow", "Registration", "read_members"]
+__all__ = ["MemberDirectory", "MemberRow", "Registration", "read_members"]
 
 _RETRY = timedelta(milliseconds=500)
 # Members come and go with VMs, some 50 a day at the size designed for; one that is
@@ -32,7 +32,7 @@
     incarnation: str
 
 
-class MemberBook:
+class MemberDirectory:
     """The members as last read.
 
     Parameters
@@ -48,7 +48,7 @@
         self._seeds = seeds
         self._members: list[MemberRow] = []
 
-    def take(self, members: list[MemberRow]) -> None:
+    def update(self, members: list[MemberRow]) -> None:
         """Replace what is known."""
         self._members = members
 
@@ -66,12 +66,12 @@
         *,
         member: MemberRow,
         table: WatchedTable,
-        book: MemberBook,
+        directory: MemberDirectory,
         clock: Clock,
     ) -> None:
         self._member = member
         self._table = table
-        self._book = book
+        self._directory = directory
         self._clock = clock
 
     async def run(  # noqa: D102
@@ -82,7 +82,7 @@
             await self._clock.sleep(_RETRY)
         while True:
             try:
-                self._book.take(await read_members(self._table))
+                self._directory.update(await read_members(self._table))
             except TableUnavailable as error:
                 log_event("members:unread", reason=str(error))
             await self._clock.sleep(_READ_AGAIN)
--- a/coltsfoottray/jobs/mirror.py
+++ b/coltsfoottray/jobs/mirror.py
@@ -56,7 +56,7 @@
         self._version_by_key: dict[str, int] = {}
         self._version = 0
         self.loaded = trio.Event()
-        self.fresh: timedelta | None = None
+        self.as_of: timedelta | None = None
         self._failing_since: timedelta | None = None
 
     def version_of(self, key: str) -> int:
@@ -65,9 +65,9 @@
 
     def age(self) -> timedelta:
         """Return how old the copy may be."""
-        if self.fresh is None:
+        if self.as_of is None:
             return timedelta(days=1)
-        return self._clock.elapsed() - self.fresh
+        return self._clock.elapsed() - self.as_of
 
     def failing_for(self) -> timedelta:
         """Return for how long the table has not answered, 0 while it does."""
@@ -137,7 +137,7 @@
         self._on_row(row)
 
     def _note_success(self, asked: timedelta) -> None:
-        self.fresh = asked
+        self.as_of = asked
         self._note_age()
         if self._failing_since is not None:
             self._failing_since = None
--- a/coltsfoottray/jobs/view.py
+++ b/coltsfoottray/jobs/view.py
@@ -24,7 +24,7 @@
         self.cancelled: set[JobId] = set()
         self._summary_by_id: dict[JobId, JobSummary] = {}
 
-    def take(self, row: Row) -> None:
+    def apply(self, row: Row) -> None:
         """Take in a row or its deletion."""
         if row.key == LEASE_KEY or "." not in row.key.rsplit("/", 1)[1]:
             return
--- a/coltsfoottray/platform/heartbeats.py
+++ b/coltsfoottray/platform/heartbeats.py
@@ -9,7 +9,7 @@
 from coltsfoottray.agent.attendant import TaskAttendant
 from coltsfoottray.http import HttpRequest, HttpResponse
 from coltsfoottray.logs import log_event
-from coltsfoottray.platform.instance import read_heartbeat
+from coltsfoottray.platform.instance import parse_heartbeat
 
 __all__ = ["HeartbeatHandler"]
 
@@ -31,7 +31,7 @@
         if verb == "deregister":
             self._attendant.take_leave(instance)
             return HttpResponse.of_json({})
-        beat = read_heartbeat(instance, request.body)
+        beat = parse_heartbeat(instance, request.body)
         if isinstance(beat, Failure):
             log_event(
                 "worker:heartbeat-unreadable",
--- a/coltsfoottray/platform/instance.py
+++ b/coltsfoottray/platform/instance.py
@@ -27,7 +27,7 @@
 from coltsfoottray.jobs.model import JobId, RunRef, TaskRef
 from coltsfoottray.types import Address, Resources
 
-__all__ = ["InstanceLink", "read_heartbeat"]
+__all__ = ["InstanceLink", "parse_heartbeat"]
 
 # A worker answers an order in a few milliseconds; one that has not by then may
 # carry it out late, and asking again is harmless.
@@ -189,7 +189,7 @@
         return response
 
 
-def read_heartbeat(instance: str, body: bytes) -> Result[Heartbeat, str]:
+def parse_heartbeat(instance: str, body: bytes) -> Result[Heartbeat, str]:
     """Return a worker's report about itself, or why it cannot be used.
 
     A worker may start again under the id it had, so its life is named by the id
--- a/coltsfoottray/platform/metadata_table.py
+++ b/coltsfoottray/platform/metadata_table.py
@@ -28,7 +28,7 @@
 )
 from coltsfoottray.types import Address
 
-__all__ = ["MAX_ENTRIES", "RowsTable"]
+__all__ = ["MAX_TRANSACTION_ITEMS", "MetadataTable"]
 
 # What takes longer is taken for lost, also while the store is slow.
 _MAX_TIMEOUT = timedelta(seconds=1.5)
@@ -42,7 +42,7 @@
 _USUAL_FACTOR = 8
 _SMOOTHING = 0.3
 # The store's own limit on the conditions and writes of one transaction.
-MAX_ENTRIES = 100
+MAX_TRANSACTION_ITEMS = 100
 # The store's own limit on the rows of one answer.
 _PAGE_ROWS = 500
 _CONFLICT = 412
@@ -81,7 +81,7 @@
     hasMore: bool = False  # noqa: N815
 
 
-class RowsTable(WatchedTable):
+class MetadataTable(WatchedTable):
     """Translates `group/shard/name` into the store's table, part and key."""
 
     def __init__(
--- a/coltsfoottray/platform/operator.py
+++ b/coltsfoottray/platform/operator.py
@@ -8,7 +8,7 @@
 from coltsfoottray.jobs.config import Queue, ServiceTerms, SiteConfig
 from coltsfoottray.jobs.model import AdviceTerms, QueueTerms
 
-__all__ = ["read_config"]
+__all__ = ["parse_config"]
 
 
 class _Recommendation(msgspec.Struct):
@@ -44,7 +44,7 @@
     services: list[_Service] = msgspec.field(default_factory=list)
 
 
-def read_config(value: msgspec.Raw) -> Result[SiteConfig, str]:
+def parse_config(value: msgspec.Raw) -> Result[SiteConfig, str]:
     """Return the config in a row, or what is wrong with it."""
     try:
         wire = msgspec.json.decode(value, type=_Config)
--- a/coltsfoottray/platform/retry.py
+++ b/coltsfoottray/platform/retry.py
@@ -15,12 +15,12 @@
     Transaction,
 )
 
-__all__ = ["commit_settled"]
+__all__ = ["commit_with_retry"]
 
 RETRY_DELAY = timedelta(milliseconds=200)
 
 
-async def commit_settled(
+async def commit_with_retry(
     table: TableService, transaction: Transaction, *, clock: Clock
 ) -> Result[dict[str, int], TableConflict]:
     """Commit `transaction` and return only once its outcome is certain.
--- a/coltsfoottray/scheduler/board.py
+++ b/coltsfoottray/scheduler/board.py
@@ -392,4 +392,4 @@
 
     def terms_of(self, job: LiveJob) -> QueueTerms:
         """Return the terms under which a job runs now."""
-        return self._holder.terms_of(job.accepted.queue, otherwise=job.accepted.terms)
+        return self._holder.terms_of(job.accepted.queue, default=job.accepted.terms)
--- a/coltsfoottray/scheduler/ledger.py
+++ b/coltsfoottray/scheduler/ledger.py
@@ -20,7 +20,7 @@
     Transaction,
     WatchedTable,
 )
-from coltsfoottray.platform.settle import commit_settled
+from coltsfoottray.platform.retry import commit_with_retry
 from coltsfoottray.scheduler.grants import Grants
 from coltsfoottray.scheduler.lease import RENEWAL, LeaseRow
 from coltsfoottray.scheduler.live import LiveJob
@@ -193,7 +193,7 @@
     async def _commit_surely(self, transaction: Transaction) -> dict[str, int]:
         while True:
             try:
-                outcome = await commit_settled(
+                outcome = await commit_with_retry(
                     self._table, transaction, clock=self._clock
                 )
             except TableUnavailable as error:
--- a/coltsfoottray/scheduler/order.py
+++ b/coltsfoottray/scheduler/order.py
@@ -28,7 +28,7 @@
 
 def objective_ms(job: LiveJob, holder: ConfigHolder) -> float:
     """Return how long the job may take to be on time."""
-    terms = holder.terms_of(job.accepted.queue, otherwise=job.accepted.terms)
+    terms = holder.terms_of(job.accepted.queue, default=job.accepted.terms)
     return terms.slowdown_factor * job.chain_ms + terms.target_latency_ms
 
 
@@ -42,7 +42,7 @@
 ) -> tuple[int, int, float]:
     """Return a sort key; the smallest goes first."""
     job = step.job
-    terms = holder.terms_of(job.accepted.queue, otherwise=job.accepted.terms)
+    terms = holder.terms_of(job.accepted.queue, default=job.accepted.terms)
     begun_ms: float = job.accepted.accepted_ms
     if job.accepted.spec.repetition is not None:
         begun_ms = job.accepted.spec.repetition.due_ms(step.occurrence)
--- a/coltsfoottray/scheduler/restore.py
+++ b/coltsfoottray/scheduler/restore.py
@@ -13,7 +13,7 @@
     RECORDS_PREFIX,
     is_scheduler_key,
     job_of,
-    job_shards,
+    job_shard_prefixes,
 )
 from coltsfoottray.jobs.model import AcceptedJob, JobId
 from coltsfoottray.jobs.records import JobRecord, JobSummary
@@ -68,7 +68,7 @@
                 await clock.sleep(_RETRY)
 
     async with trio.open_nursery() as nursery:
-        for prefix in [*job_shards(), RECORDS_PREFIX]:
+        for prefix in [*job_shard_prefixes(), RECORDS_PREFIX]:
             nursery.start_soon(read, prefix)
     return _assemble(rows)
 
--- a/coltsfoottray/tasks/store.py
+++ b/coltsfoottray/tasks/store.py
@@ -13,7 +13,7 @@
 from coltsfoottray.leases.partitions import as_partition
 from coltsfoottray.platform import Check, Put, Row, TableService, Transaction
 from coltsfoottray.platform.common import ABSENT
-from coltsfoottray.platform.settle import commit_settled
+from coltsfoottray.platform.retry import commit_with_retry
 from coltsfoottray.tasks.rows import (
     StoredTask,
     TaskRow,
@@ -94,7 +94,7 @@
             row = replace(stored.row, wants_cancel=True)
         put = Put.of(task_key(row.spec), stored.version, row)
         transaction = Transaction(puts=[put])
-        outcome = await commit_settled(self._table, transaction, clock=self._clock)
+        outcome = await commit_with_retry(self._table, transaction, clock=self._clock)
         return isinstance(outcome, Success)
 
     async def load(self, partition: int) -> Sequence[StoredTask]:
@@ -111,7 +111,7 @@
         transaction = Transaction(
             puts=[Put.of(key, stored.version, row)], checks=[fence]
         )
-        outcome = await commit_settled(self._table, transaction, clock=self._clock)
+        outcome = await commit_with_retry(self._table, transaction, clock=self._clock)
         if isinstance(outcome, Failure):
             conflict = outcome.failure()
             return Failure(Fenced(keys=[row.key for row in conflict.rows]))
