--- a/coltsfoottray/scheduler/board.py
+++ b/coltsfoottray/scheduler/cluster_state.py
@@ -16,14 +16,14 @@
 from coltsfoottray.scheduler.live import LiveJob, LiveStep
 from coltsfoottray.scheduler.messages import RejectedStart, Report
 
-__all__ = ["Board"]
+__all__ = ["ClusterState"]
 
 # A worker that refused a start as unhealthy or full is left alone for a while:
 # two of its attendant's reports.
 _BLOCK = timedelta(seconds=2)
 
 
-class Board:
+class ClusterState:
     """Jobs, workers and runs; changed by one task only, the scheduler's rounds."""
 
     def __init__(self, *, holder: ConfigHolder, fleet: Fleet) -> None:
@@ -81,7 +81,7 @@
 
     # What attendants say.
 
-    def take_report(self, report: Report, now: timedelta, now_ms: int) -> int:
+    def apply_report(self, report: Report, now: timedelta, now_ms: int) -> int:
         """Take in a report; return the last end that need not be told again."""
         worker = self.fleet.worker_by_id[report.worker]
         if not self._take_life(worker, report, now, now_ms):
@@ -130,7 +130,7 @@
             keeper.checkpoint = status.checkpoint
             placed.step.job.has_new_checkpoints = True
 
-    def expire(self, now: timedelta, now_ms: int) -> None:
+    def expire_leases(self, now: timedelta, now_ms: int) -> None:
         """Give up the runs of workers whose lease has surely run out."""
         for worker in self.fleet.worker_by_id.values():
             if not worker.held_by_ref or worker.surely_over >= now:
--- a/coltsfoottray/scheduler/planner.py
+++ b/coltsfoottray/scheduler/planner.py
@@ -8,7 +8,7 @@
 from coltsfoottray.jobs.model import QueueTerms, RunRef
 from coltsfoottray.jobs.records import JobState, TaskPhase
 from coltsfoottray.logs import log_event
-from coltsfoottray.scheduler.board import Board
+from coltsfoottray.scheduler.cluster_state import ClusterState
 from coltsfoottray.scheduler.fit import (
     Openings,
     Patience,
@@ -56,9 +56,9 @@
 class Planner:
     """Decides from a board, and changes it accordingly."""
 
-    def __init__(self, *, board: Board, holder: ConfigHolder) -> None:
-        self._board = board
-        self._fleet = board.fleet
+    def __init__(self, *, cluster: ClusterState, holder: ConfigHolder) -> None:
+        self._board = cluster
+        self._fleet = cluster.fleet
         self._holder = holder
         self._rebalanced = timedelta(0)
         self._packed = timedelta(0)
--- a/coltsfoottray/scheduler/reign.py
+++ b/coltsfoottray/scheduler/reign.py
@@ -19,7 +19,7 @@
 from coltsfoottray.metrics import Metrics
 from coltsfoottray.peers import PeerClient
 from coltsfoottray.platform import WatchedTable
-from coltsfoottray.scheduler.board import Board
+from coltsfoottray.scheduler.cluster_state import ClusterState
 from coltsfoottray.scheduler.fleet import Fleet, PlacedRun, Worker
 from coltsfoottray.scheduler.grants import Grants, is_late
 from coltsfoottray.scheduler.lease import RENEWAL, LeaseRow
@@ -90,8 +90,8 @@
         self._clock = clock
         self._metrics = metrics
         self._fleet = Fleet()
-        self.board = Board(holder=holder, fleet=self._fleet)
-        self.planner = Planner(board=self.board, holder=holder)
+        self.board = ClusterState(holder=holder, fleet=self._fleet)
+        self.planner = Planner(cluster=self.board, holder=holder)
         self._grants = Grants(
             epoch=lease.epoch,
             won=won,
@@ -300,9 +300,9 @@
             self.board.forget(job_id)
         last_end_by_worker: dict[str, int] = {}
         for report in inbox.reports:
-            last = self.board.take_report(report, now, now_ms)
+            last = self.board.apply_report(report, now, now_ms)
             last_end_by_worker[report.worker] = last
-        self.board.expire(now, now_ms)
+        self.board.expire_leases(now, now_ms)
         self.planner.evacuate(now)
         self.planner.rebalance(now)
         self.planner.pack_services(now)
