--- a/coltsfoottray/scheduler/cluster_state.py
+++ b/coltsfoottray/scheduler/cluster_state.py
@@ -12,7 +12,7 @@
 from coltsfoottray.jobs.records import JobState, TaskPhase
 from coltsfoottray.logs import log_event
 from coltsfoottray.scheduler.fleet import MAX_STRAY, Fleet, PlacedRun, Worker
-from coltsfoottray.scheduler.lengths import LengthBook
+from coltsfoottray.scheduler.lengths import LengthEstimator
 from coltsfoottray.scheduler.live import LiveJob, LiveStep
 from coltsfoottray.scheduler.messages import RejectedStart, Report
 
@@ -31,7 +31,7 @@
         self.active_by_id: dict[JobId, LiveJob] = {}
         self.fleet = fleet
         self.pressures = PressureTable()
-        self.lengths = LengthBook()
+        self.lengths = LengthEstimator()
         self._holder = holder
 
     # What was stored.
--- a/coltsfoottray/scheduler/lengths.py
+++ b/coltsfoottray/scheduler/lengths.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-__all__ = ["LengthBook", "Progress"]
+__all__ = ["LengthEstimator", "Progress"]
 
 # So many steps seen weigh as much as what callers declare.
 _TRUST_IN_DECLARED = 4.0
@@ -98,7 +98,7 @@
         return mean + shift + min(max(slope, 0.0), 1.0) * (declared - mean)
 
 
-class LengthBook:
+class LengthEstimator:
     """Learns by queue what a declared length means.
 
     Attributes
@@ -109,15 +109,15 @@
 
     def __init__(self) -> None:
         self._sums_by_queue: dict[str, _Sums] = {}
-        self.edition = 0
+        self.revision = 0
 
     def note(self, queue: str, *, declared_ms: float, seen_ms: float) -> None:
         """Take in how long the tasks of one step took."""
         sums = self._sums_by_queue.setdefault(queue, _Sums())
         sums.add(_log(declared_ms), _log(seen_ms))
-        self.edition += 1
+        self.revision += 1
 
-    def expect_ms(self, queue: str, declared_ms: float) -> float:
+    def expected_ms(self, queue: str, declared_ms: float) -> float:
         """Return how long a task of a queue is likely to take, in ms."""
         sums = self._sums_by_queue.get(queue)
         if sums is None:
--- a/coltsfoottray/scheduler/live.py
+++ b/coltsfoottray/scheduler/live.py
@@ -13,8 +13,8 @@
     TaskPhase,
     TaskRecord,
 )
-from coltsfoottray.scheduler.hindrance import Hindrance
-from coltsfoottray.scheduler.lengths import LengthBook
+from coltsfoottray.scheduler.lengths import LengthEstimator
+from coltsfoottray.scheduler.wait_reason import WaitReason
 
 __all__ = ["Inquiry", "LiveJob", "LiveStep", "Ticket"]
 
@@ -84,7 +84,7 @@
     ticket_by_life: dict[str, Ticket] = field(default_factory=dict)
     inquiry: Inquiry = field(default_factory=Inquiry)
     tried: int = 0
-    hindrance: Hindrance | None = None
+    hindrance: WaitReason | None = None
 
     def __post_init__(self) -> None:
         self.recount()
@@ -177,7 +177,7 @@
         version: int = 0,
         summary: JobSummary | None = None,
         summary_version: int = 0,
-        lengths: LengthBook,
+        lengths: LengthEstimator,
     ) -> None:
         self.accepted = accepted
         self._lengths = lengths
@@ -261,9 +261,9 @@
         )
 
     def _expect_lengths(self) -> None:
-        if self._lengths_edition == self._lengths.edition:
+        if self._lengths_edition == self._lengths.revision:
             return
-        self._lengths_edition = self._lengths.edition
+        self._lengths_edition = self._lengths.revision
         steps = self.accepted.spec.steps
         self._expected_ms = [
             self._expect_ms(number, step.estimate_ms)
@@ -279,7 +279,7 @@
         seen_ms = self.record.length_ms_by_step.get(step)
         if seen_ms is not None:
             return float(seen_ms)
-        return self._lengths.expect_ms(self.accepted.queue, declared_ms)
+        return self._lengths.expected_ms(self.accepted.queue, declared_ms)
 
     def steps(self) -> list[LiveStep]:
         """Return the steps of every occurrence that is not done."""
--- a/coltsfoottray/scheduler/planner.py
+++ b/coltsfoottray/scheduler/planner.py
@@ -19,10 +19,10 @@
     takes_work,
 )
 from coltsfoottray.scheduler.fleet import PlacedRun, Worker
-from coltsfoottray.scheduler.hindrance import Hindrance, note_hindrance
 from coltsfoottray.scheduler.live import LiveJob, LiveStep
 from coltsfoottray.scheduler.order import is_half_over, urgency
 from coltsfoottray.scheduler.packing import choose_moves, is_steady
+from coltsfoottray.scheduler.wait_reason import WaitReason, record_wait_reason
 
 __all__ = ["Planner"]
 
@@ -100,10 +100,10 @@
             # Counted as misses, these would end the turn, and less urgent steps get
             # room before others that fit. They cost no look at each worker.
             if self._has_no_place(step, openings, now):
-                note_hindrance(step, Hindrance.ROOM)
+                record_wait_reason(step, WaitReason.ROOM)
                 continue
             new = self._place_step(step, now, now_ms)
-            note_hindrance(step, self._hindrance(step, now))
+            record_wait_reason(step, self._hindrance(step, now))
             step.tried = self._round
             placed += new
             misses += not new
@@ -117,12 +117,12 @@
             step.spec, service=self._board.terms_of(step.job).service
         )
 
-    def _hindrance(self, step: LiveStep, now: timedelta) -> Hindrance:
+    def _hindrance(self, step: LiveStep, now: timedelta) -> WaitReason:
         """Return what tasks of a step lack that wait though there may be room."""
         allowed = self._allowed(step, now)
         if allowed is not None and not allowed:
-            return Hindrance.TICKET
-        return Hindrance.GOOD_PLACE if step.spec.is_filler else Hindrance.ROOM
+            return WaitReason.TICKET
+        return WaitReason.GOOD_PLACE if step.spec.is_filler else WaitReason.ROOM
 
     def _place_step(
         self, step: LiveStep, now: timedelta, now_ms: int
--- a/coltsfoottray/scheduler/hindrance.py
+++ b/coltsfoottray/scheduler/wait_reason.py
@@ -10,10 +10,10 @@
 if TYPE_CHECKING:
     from coltsfoottray.scheduler.live import LiveStep
 
-__all__ = ["Hindrance", "note_hindrance"]
+__all__ = ["WaitReason", "record_wait_reason"]
 
 
-class Hindrance(enum.Enum):
+class WaitReason(enum.Enum):
     """What a step lacks."""
 
     ROOM = "room"
@@ -24,7 +24,7 @@
     """Its queue's policy has not said yet which workers may run it."""
 
 
-def note_hindrance(step: LiveStep, hindrance: Hindrance) -> None:
+def record_wait_reason(step: LiveStep, hindrance: WaitReason) -> None:
     """Note what the waiting tasks of a step lack; without any it lacks nothing."""
     if not step.waiting:
         step.hindrance = None
