--- a/coltsfoottray/scheduler/advice.py
+++ b/coltsfoottray/scheduler/advice.py
@@ -20,7 +20,7 @@
 from coltsfoottray.scheduler.planner import Planner
 from coltsfoottray.scheduler.questions import Question, Questions
 
-__all__ = ["Adviser", "Permit", "ask_for_ever"]
+__all__ = ["Adviser", "Permit", "run_advice_loop"]
 
 _POLL = timedelta(milliseconds=30)
 _RETRY = timedelta(milliseconds=200)
@@ -56,7 +56,7 @@
         """
 
 
-async def ask_for_ever(
+async def run_advice_loop(
     planner: Planner, adviser: Adviser, *, clock: Clock, wake: Callable[[], None]
 ) -> None:
     """Keep the steps that need it supplied with tickets."""
--- a/coltsfoottray/scheduler/cluster_state.py
+++ b/coltsfoottray/scheduler/cluster_state.py
@@ -109,11 +109,11 @@
         for rejected in report.rejected:
             self._take_rejection(worker, rejected, now, now_ms)
         self.pressures.take(worker.id, report.pressures)
-        worker.strays.clear()
+        worker.orphans.clear()
         for status in report.running:
             placed = worker.held_by_ref.get(status.ref)
             if placed is None:
-                worker.strays.add(status.ref)
+                worker.orphans.add(status.ref)
                 continue
             placed.note_status(status.percent, status.figure, now)
             self._take_checkpoint(placed, status)
@@ -133,9 +133,9 @@
     def expire_leases(self, now: timedelta, now_ms: int) -> None:
         """Give up the runs of workers whose lease has surely run out."""
         for worker in self.fleet.worker_by_id.values():
-            if not worker.held_by_ref or worker.surely_over >= now:
+            if not worker.held_by_ref or worker.runs_end_by >= now:
                 continue
-            silent_s = (now - worker.heard).total_seconds()
+            silent_s = (now - worker.last_heard).total_seconds()
             why = f"its lease is over, its attendant silent for {silent_s:.1f} s"
             held = list(worker.held_by_ref.values())
             self._lose(worker, held, now_ms, why=why)
@@ -218,7 +218,9 @@
         worker.rack = report.rack
         worker.margin_by_image = report.margin_by_image
         if report.is_draining and not worker.is_draining:
-            worker.leaves = worker.heard + timedelta(milliseconds=report.remaining_ms)
+            worker.leaves = worker.last_heard + timedelta(
+                milliseconds=report.remaining_ms
+            )
         worker.is_draining = report.is_draining
         was_reachable = worker.is_reachable
         worker.is_reachable = report.shows_life
@@ -227,7 +229,7 @@
                 "decision:out-of-reach",
                 worker=worker.id,
                 life=report.life,
-                lease_left_s=(worker.lease_end - worker.heard).total_seconds(),
+                lease_left_s=(worker.lease_end - worker.last_heard).total_seconds(),
                 runs=[str(ref) for ref in worker.held_by_ref],
             )
 
@@ -275,7 +277,7 @@
         """Note what ends told at once say of the worker; good ones speak first."""
         for placed, kind in ended:
             if kind is EndKind.DONE:
-                worker.health.note_good(placed.placed)
+                worker.health.record_success(placed.placed)
         for placed, kind in ended:
             if kind is EndKind.FAILED:
                 self._note_bad(worker, placed, now)
@@ -283,7 +285,7 @@
     def _note_bad(self, worker: Worker, placed: PlacedRun, now: timedelta) -> None:
         task = placed.ref.task
         placed.step.avoid_by_index.setdefault(task.index, set()).add(worker.id)
-        block = worker.health.note_bad(
+        block = worker.health.record_failure(
             task.job,
             placed=placed.placed,
             now=now,
--- a/coltsfoottray/scheduler/fit.py
+++ b/coltsfoottray/scheduler/fit.py
@@ -255,7 +255,7 @@
         and not worker.is_draining
         and bool(worker.life)
         and worker.session > 0
-        and now - worker.heard < _SILENCE
+        and now - worker.last_heard < _SILENCE
         and worker.blocked_until <= now
         and not worker.is_being_tried(now)
     )
--- a/coltsfoottray/scheduler/fleet.py
+++ b/coltsfoottray/scheduler/fleet.py
@@ -137,12 +137,12 @@
     leaves: timedelta = _NEVER
     is_reachable: bool = False
     report_number: int = 0
-    is_listed: bool = False
-    heard: timedelta = _NEVER
-    answered: timedelta = _NEVER
+    is_listed_silent: bool = False
+    last_heard: timedelta = _NEVER
+    last_answered: timedelta = _NEVER
     acknowledged: int = 0
     held_by_ref: dict[RunRef, PlacedRun] = field(default_factory=dict)
-    strays: set[RunRef] = field(default_factory=set)
+    orphans: set[RunRef] = field(default_factory=set)
     blocked_until: timedelta = _NEVER
 
     def __post_init__(self) -> None:
@@ -168,14 +168,14 @@
         return processors / max(self.capacity.processors, 1e-9)
 
     @property
-    def is_unsettled(self) -> bool:
+    def has_unconfirmed_runs(self) -> bool:
         """Whether it is not known yet what became of runs that it had."""
         if not self.held_by_ref:
             return False
         return not self.life or self.replaced is not None
 
     @property
-    def surely_over(self) -> timedelta:
+    def runs_end_by(self) -> timedelta:
         """When nothing that is held here can run any more.
 
         Another life of the worker may have taken starts that were meant for the one
--- a/coltsfoottray/scheduler/grants.py
+++ b/coltsfoottray/scheduler/grants.py
@@ -74,11 +74,11 @@
         confirmed : timedelta
             When the last write was sent that proved the scheduler's right.
         """
-        worker.heard = self._clock.elapsed()
+        worker.last_heard = self._clock.elapsed()
         if report.shows_life or report.incarnation != worker.incarnation:
             # A new attendant has yet to see its worker. Were that listed as silent
             # till then, it would get no lease if the table fails just as it is seen.
-            worker.answered = worker.heard
+            worker.last_answered = worker.last_heard
         if report.shows_life:
             return self.grant(worker, confirmed)
         if 0 < worker.session == report.session:
@@ -96,14 +96,14 @@
         """
         now = self._clock.elapsed()
         granted = min(now + _HORIZON, confirmed + AUTHORITY) - now
-        if granted <= timedelta(0) or worker.is_listed:
+        if granted <= timedelta(0) or worker.is_listed_silent:
             return 0
         worker.lease_end = max(worker.lease_end, now + granted * _DRIFT)
         return math.floor(granted.total_seconds() * 1000)
 
     def is_pending(self, worker: Worker, confirmed: timedelta) -> bool:
         """Whether a worker gets a lease as soon as it is no longer listed as silent."""
-        return worker.is_listed and self._clock.elapsed() < confirmed + AUTHORITY
+        return worker.is_listed_silent and self._clock.elapsed() < confirmed + AUTHORITY
 
     def _shorten(self, worker: Worker, left: timedelta) -> None:
         """Note that a worker that does not answer may run for `left` at the most.
@@ -112,7 +112,7 @@
         is over would be lost with the scheduler that heard it, and the next one would
         wait for a whole lease.
         """
-        end = worker.heard + left * _DRIFT
+        end = worker.last_heard + left * _DRIFT
         if worker.held_by_ref and worker.lease_end - end > _TELLING:
             log_event(
                 "scheduler:lease-shortened",
@@ -132,16 +132,16 @@
         now = self._clock.elapsed()
         silent_ms: dict[str, int] = {}
         for worker in self._fleet.worker_by_id.values():
-            if worker.held_by_ref and now - worker.answered > _SILENCE:
-                worker.is_listed = True
-                left = max(worker.surely_over - now, timedelta(0))
+            if worker.held_by_ref and now - worker.last_answered > _SILENCE:
+                worker.is_listed_silent = True
+                left = max(worker.runs_end_by - now, timedelta(0))
                 silent_ms[worker.id] = math.ceil(left.total_seconds() * 1000)
         return silent_ms
 
     def unlist(self, silent_ms: Mapping[str, int]) -> None:
         """Let workers that the stored row does not list have leases again."""
         for worker in self._fleet.worker_by_id.values():
-            worker.is_listed = worker.id in silent_ms
+            worker.is_listed_silent = worker.id in silent_ms
 
     def has_returned(self) -> bool:
         """Whether a worker answers again that the stored row still lists as silent.
@@ -151,7 +151,7 @@
         """
         now = self._clock.elapsed()
         return any(
-            worker.is_listed and now - worker.answered <= _SILENCE
+            worker.is_listed_silent and now - worker.last_answered <= _SILENCE
             for worker in self._fleet.worker_by_id.values()
         )
 
--- a/coltsfoottray/scheduler/health.py
+++ b/coltsfoottray/scheduler/health.py
@@ -61,7 +61,7 @@
         self._blocked_until = timedelta.min
         self.is_on_trial = False
 
-    def note_good(self, placed: timedelta) -> None:
+    def record_success(self, placed: timedelta) -> None:
         """Note that a task ended well that was placed at `placed`.
 
         It clears the worker only of trouble with tasks placed no later: a worker that
@@ -73,7 +73,7 @@
             self._block = _FIRST_BLOCK
             self.is_on_trial = False
 
-    def note_bad(
+    def record_failure(
         self,
         job: JobId,
         *,
--- a/coltsfoottray/scheduler/orders.py
+++ b/coltsfoottray/scheduler/orders.py
@@ -31,7 +31,7 @@
         ],
         stops=[
             *(each.ref for each in held if each.is_stopping),
-            *(ref for ref in worker.strays if ref not in worker.held_by_ref),
+            *(ref for ref in worker.orphans if ref not in worker.held_by_ref),
         ],
         acknowledged=worker.acknowledged,
     )
--- a/coltsfoottray/scheduler/reign.py
+++ b/coltsfoottray/scheduler/reign.py
@@ -314,7 +314,9 @@
         """Whether workers may still show, soon, what became of runs they had."""
         if self._clock.elapsed() - self._loaded >= _GATHERING:
             return False
-        return any(worker.is_unsettled for worker in self._fleet.worker_by_id.values())
+        return any(
+            worker.has_unconfirmed_runs for worker in self._fleet.worker_by_id.values()
+        )
 
     def _release(
         self, placed: list[PlacedRun], ends: dict[str, int], nursery: trio.Nursery
--- a/coltsfoottray/scheduler/service.py
+++ b/coltsfoottray/scheduler/service.py
@@ -23,7 +23,7 @@
 from coltsfoottray.metrics import Metrics
 from coltsfoottray.peers import CallHandlers, PeerClient
 from coltsfoottray.platform import Put, TableUnavailable, Transaction, WatchedTable
-from coltsfoottray.scheduler.advice import Adviser, ask_for_ever
+from coltsfoottray.scheduler.advice import Adviser, run_advice_loop
 from coltsfoottray.scheduler.lease import LeaseRow, LeaseWatch
 from coltsfoottray.scheduler.ledger import Deposed
 from coltsfoottray.scheduler.messages import (
@@ -260,7 +260,7 @@
             if self._adviser is not None:
                 nursery.start_soon(
                     partial(
-                        ask_for_ever,
+                        run_advice_loop,
                         reign.planner,
                         self._adviser,
                         clock=self._clock,
--- a/tests/steps/health_steps.py
+++ b/tests/steps/health_steps.py
@@ -27,13 +27,15 @@
     now = timedelta(seconds=second)
     placed = context.placed_by_job.pop(job, now)
     running = context.placed_by_job.values()
-    block = context.health.note_bad(JobId(job), placed=placed, now=now, running=running)
+    block = context.health.record_failure(
+        JobId(job), placed=placed, now=now, running=running
+    )
     context.blocks.append(block)
 
 
 @step('the task of job "{job}" ends well at second {second:d}')
 def end_well(context, job, second):
-    context.health.note_good(context.placed_by_job.pop(job))
+    context.health.record_success(context.placed_by_job.pop(job))
 
 
 @then("it takes nothing new")
