--- a/coltsfoottray/scheduler/advice.py
+++ b/coltsfoottray/scheduler/advice.py
@@ -16,9 +16,9 @@
 from coltsfoottray.errors import CommunicationError
 from coltsfoottray.jobs.model import AdviceTerms, JobId
 from coltsfoottray.logs import log_event
+from coltsfoottray.scheduler.advice_requests import AdviceRequest, AdviceRequestSelector
 from coltsfoottray.scheduler.live import Ticket
 from coltsfoottray.scheduler.planner import Planner
-from coltsfoottray.scheduler.questions import Question, Questions
 
 __all__ = ["Adviser", "Permit", "run_advice_loop"]
 
@@ -60,7 +60,7 @@
     planner: Planner, adviser: Adviser, *, clock: Clock, wake: Callable[[], None]
 ) -> None:
     """Keep the steps that need it supplied with tickets."""
-    questions = Questions(planner=planner)
+    questions = AdviceRequestSelector(planner=planner)
     while True:
         question = questions.choose(clock.elapsed())
         if question is None:
@@ -74,7 +74,7 @@
 
 
 async def _ask(
-    question: Question, terms: AdviceTerms, adviser: Adviser, clock: Clock
+    question: AdviceRequest, terms: AdviceTerms, adviser: Adviser, clock: Clock
 ) -> bool:
     """Ask about one step; return whether an answer came."""
     step = question.step
@@ -94,7 +94,7 @@
     step.ticket_by_life = {
         permit.life: Ticket(value=permit.ticket, until=until) for permit in permits
     }
-    Questions.note_answer(question, step.ticket_by_life, asked)
+    AdviceRequestSelector.note_answer(question, step.ticket_by_life, asked)
     log_event(
         "decision:advised",
         step=f"{step.job.id}.{step.occurrence}.{step.number}",
--- a/coltsfoottray/scheduler/questions.py
+++ b/coltsfoottray/scheduler/advice_requests.py
@@ -9,7 +9,7 @@
 from coltsfoottray.scheduler.live import LiveStep
 from coltsfoottray.scheduler.planner import Planner
 
-__all__ = ["Question", "Questions"]
+__all__ = ["AdviceRequest", "AdviceRequestSelector"]
 
 # Each worker named prolongs the answer; a step that needs more asks again.
 _MAX_WORKERS = 30
@@ -26,21 +26,21 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Question:
+class AdviceRequest:
     """A step, and the lives of the workers that it would go to."""
 
     step: LiveStep
     lives: list[str]
 
 
-class Questions:
+class AdviceRequestSelector:
     """Chooses among the steps that wait for tickets."""
 
     def __init__(self, *, planner: Planner) -> None:
         self._planner = planner
         self._urgent_asked = 0
 
-    def choose(self, now: timedelta) -> Question | None:
+    def choose(self, now: timedelta) -> AdviceRequest | None:
         """Return the next question, none if there is nobody to ask about."""
         waiting = self._planner.waiting_for_tickets(now)
         if self._urgent_asked < _URGENT_RUN:
@@ -55,7 +55,9 @@
         return self._first(waiting, now, is_fair=True)
 
     @staticmethod
-    def note_answer(question: Question, allowed: Iterable[str], now: timedelta) -> None:
+    def note_answer(
+        question: AdviceRequest, allowed: Iterable[str], now: timedelta
+    ) -> None:
         """Note which of the workers may not run the step."""
         refused = question.step.inquiry.refused_by_life
         refused.update(dict.fromkeys(question.lives, now))
@@ -64,7 +66,7 @@
 
     def _first(
         self, steps: list[LiveStep], now: timedelta, *, is_fair: bool
-    ) -> Question | None:
+    ) -> AdviceRequest | None:
         """Return a question on the first step about which there is somebody to ask."""
         for step in steps[:_MAX_LOOKS]:
             lives = self._lives(step, now, is_fair=is_fair)
@@ -73,7 +75,7 @@
             # Nobody is asked about any step behind one without candidates, unless it
             # is passed over.
             if lives:
-                return Question(step=step, lives=lives[:_MAX_WORKERS])
+                return AdviceRequest(step=step, lives=lives[:_MAX_WORKERS])
         return None
 
     def _lives(self, step: LiveStep, now: timedelta, *, is_fair: bool) -> list[str]:
--- a/coltsfoottray/scheduler/cluster_state.py
+++ b/coltsfoottray/scheduler/cluster_state.py
@@ -11,7 +11,7 @@
 from coltsfoottray.jobs.model import AcceptedJob, JobId, QueueTerms, RunRef
 from coltsfoottray.jobs.records import JobState, TaskPhase
 from coltsfoottray.logs import log_event
-from coltsfoottray.scheduler.fleet import MAX_STRAY, Fleet, PlacedRun, Worker
+from coltsfoottray.scheduler.fleet import MAX_ORPHAN_TIME, Fleet, PlacedRun, Worker
 from coltsfoottray.scheduler.lengths import LengthEstimator
 from coltsfoottray.scheduler.live import LiveJob, LiveStep
 from coltsfoottray.scheduler.messages import RejectedStart, Report
@@ -101,7 +101,7 @@
             )
         for run, kind in ended:
             if kind is EndKind.DONE:
-                run.note_done(now)
+                run.record_completion(now)
         for end in report.ends:
             self._take_end(worker, end.ref, end.kind, end.checkpoint, now_ms)
         self._note_health(worker, ended, now)
@@ -115,9 +115,9 @@
             if placed is None:
                 worker.orphans.add(status.ref)
                 continue
-            placed.note_status(status.percent, status.figure, now)
+            placed.update_status(status.percent, status.figure, now)
             self._take_checkpoint(placed, status)
-        worker.note_use()
+        worker.recompute_usage()
         return max((end.number for end in report.ends), default=0)
 
     @staticmethod
@@ -145,13 +145,13 @@
         self, worker: Worker, report: Report, now: timedelta, now_ms: int
     ) -> bool:
         """Settle what became of earlier lives' runs; return whether all is settled."""
-        others = worker.held_of_others(report.life)
+        others = worker.held_by_other_lives(report.life)
         if others and not self._has_shown_its_runs(worker, report, now):
             return False
         if report.is_replaced:
-            worker.replaced = worker.replaced or now
+            worker.replaced_since = worker.replaced_since or now
         elif report.life:
-            worker.replaced = None
+            worker.replaced_since = None
         if report.life and report.life != worker.life:
             worker.acknowledged = 0
             worker.life = report.life
@@ -167,9 +167,9 @@
         old life they ran beside their successors. A look in a later session shows
         what is there and shuts out the rest.
         """
-        if worker.replaced is None:
-            worker.replaced = now
-        if now - worker.replaced > MAX_STRAY:
+        if worker.replaced_since is None:
+            worker.replaced_since = now
+        if now - worker.replaced_since > MAX_ORPHAN_TIME:
             return True
         return 0 < worker.session == report.session == report.looked
 
@@ -218,7 +218,7 @@
         worker.rack = report.rack
         worker.margin_by_image = report.margin_by_image
         if report.is_draining and not worker.is_draining:
-            worker.leaves = worker.last_heard + timedelta(
+            worker.leaves_at = worker.last_heard + timedelta(
                 milliseconds=report.remaining_ms
             )
         worker.is_draining = report.is_draining
@@ -313,7 +313,7 @@
         checkpoint: str,
         now_ms: int,
     ) -> None:
-        worker.let_go(ref)
+        worker.release(ref)
         job = self.job_by_id.get(ref.task.job)
         step = None if job is None else job.find(ref.task)
         if job is None or step is None:
--- a/coltsfoottray/scheduler/fleet.py
+++ b/coltsfoottray/scheduler/fleet.py
@@ -13,7 +13,7 @@
 from coltsfoottray.scheduler.live import LiveStep
 from coltsfoottray.types import Address, Resources
 
-__all__ = ["MAX_STRAY", "Fleet", "PlacedRun", "Worker"]
+__all__ = ["MAX_ORPHAN_TIME", "Fleet", "PlacedRun", "Worker"]
 
 # A slowed filler may be let work a little more by the next look.
 _FILLER_HEADROOM = 0.15
@@ -26,7 +26,7 @@
 # A new life of a worker that never answers its attendant cannot show what it runs. A
 # start of the life before that reached it, seconds late, would run for a lease of 10 s
 # at the most.
-MAX_STRAY = timedelta(seconds=16)
+MAX_ORPHAN_TIME = timedelta(seconds=16)
 _NOTHING = Resources()
 
 
@@ -66,14 +66,14 @@
             return 1.0
         return min(self.figure / _MILLI / wanted, 1.0)
 
-    def note_status(self, percent: float, figure: float, now: timedelta) -> None:
+    def update_status(self, percent: float, figure: float, now: timedelta) -> None:
         """Take in how far it is and what it uses."""
         self.progress.note(percent, speed=self.speed, now=now)
         self.percent = percent
         self.figure = figure
         self._tell_length(self.progress.length_ms())
 
-    def note_done(self, now: timedelta) -> None:
+    def record_completion(self, now: timedelta) -> None:
         """Take in that it has ended well."""
         self._tell_length(self.progress.length_at_end(now, speed=self.speed))
 
@@ -127,14 +127,14 @@
     session: int = 0
     session_life: str = ""
     life: str = ""
-    replaced: timedelta | None = None
+    replaced_since: timedelta | None = None
     service: str = ""
     data_centre: str = ""
     capacity: Resources = _NOTHING
     labels: list[str] = field(default_factory=list)
     rack: str = ""
     is_draining: bool = False
-    leaves: timedelta = _NEVER
+    leaves_at: timedelta = _NEVER
     is_reachable: bool = False
     report_number: int = 0
     is_listed_silent: bool = False
@@ -148,7 +148,7 @@
     def __post_init__(self) -> None:
         self.health = WorkerHealth()
         self.taken = Resources()
-        self.busy = 0.0
+        self.busy_processors = 0.0
         self.margin_by_image: dict[str, ServiceMargin] = {}
         self.service_images: list[str] = []
         self.filler_share_by_image: dict[str, float] = {}
@@ -161,7 +161,7 @@
     @property
     def processors_left(self) -> float:
         """Processors that none of its tasks is likely to use."""
-        return self.capacity.processors - self.busy
+        return self.capacity.processors - self.busy_processors
 
     def share_of(self, processors: float) -> float:
         """Return which part of the whole worker `processors` are."""
@@ -172,7 +172,7 @@
         """Whether it is not known yet what became of runs that it had."""
         if not self.held_by_ref:
             return False
-        return not self.life or self.replaced is not None
+        return not self.life or self.replaced_since is not None
 
     @property
     def runs_end_by(self) -> timedelta:
@@ -181,21 +181,21 @@
         Another life of the worker may have taken starts that were meant for the one
         before. Its clock is another, so that they outlast the lease of that one.
         """
-        if self.replaced is None:
+        if self.replaced_since is None:
             return self.lease_end
-        return max(self.lease_end, self.replaced + MAX_STRAY)
+        return max(self.lease_end, self.replaced_since + MAX_ORPHAN_TIME)
 
-    def is_being_tried(self, now: timedelta) -> bool:
+    def has_probe_running(self, now: timedelta) -> bool:
         """Whether a first task after a block is yet to show if the worker is sound.
 
         Tasks placed together after a block would all fail where it is still bad.
         """
-        return self.health.is_on_trial and any(
+        return self.health.is_on_probation and any(
             self.blocked_until <= placed.placed and now - placed.placed < _TRIAL
             for placed in self.held_by_ref.values()
         )
 
-    def held_of_others(self, life: str) -> list[PlacedRun]:
+    def held_by_other_lives(self, life: str) -> list[PlacedRun]:
         """Return the runs that were meant for another life than `life`."""
         if not life:
             return []
@@ -206,13 +206,13 @@
         self.held_by_ref[placed.ref] = placed
         self._sum_up()
 
-    def let_go(self, ref: RunRef) -> PlacedRun | None:
+    def release(self, ref: RunRef) -> PlacedRun | None:
         """Give back the room of a run that cannot exist any more."""
         placed = self.held_by_ref.pop(ref, None)
         self._sum_up()
         return placed
 
-    def note_use(self) -> None:
+    def recompute_usage(self) -> None:
         """Count anew, after a report has told what runs use."""
         self._sum_up()
 
@@ -233,7 +233,7 @@
             if spec.is_filler:
                 share = self.share_of(spec.demand.processors)
                 self.filler_share_by_image[spec.image] += share
-        self.busy = sum(_likely_use(placed) for placed in held)
+        self.busy_processors = sum(_likely_use(placed) for placed in held)
 
 
 def _likely_use(placed: PlacedRun) -> float:
--- a/coltsfoottray/scheduler/health.py
+++ b/coltsfoottray/scheduler/health.py
@@ -59,7 +59,7 @@
         self._last_bad = timedelta.min
         self._last_good = timedelta.min
         self._blocked_until = timedelta.min
-        self.is_on_trial = False
+        self.is_on_probation = False
 
     def record_success(self, placed: timedelta) -> None:
         """Note that a task ended well that was placed at `placed`.
@@ -71,7 +71,7 @@
         self._troubles = [each for each in self._troubles if each.placed > placed]
         if placed >= self._last_bad:
             self._block = _FIRST_BLOCK
-            self.is_on_trial = False
+            self.is_on_probation = False
 
     def record_failure(
         self,
@@ -99,7 +99,7 @@
             # What was begun before the block fails one by one; that is no news.
             return None
         jobs = {each.job for each in self._troubles}
-        if len(jobs) < _SUSPECT_JOBS and not self.is_on_trial:
+        if len(jobs) < _SUSPECT_JOBS and not self.is_on_probation:
             return None
         survivors = self._count_survivors(running, now)
         if len(self._troubles) <= _FAILURES_TO_SURVIVORS * survivors:
@@ -107,7 +107,7 @@
         block = self._block
         self._block = min(self._block * 2, _MAX_BLOCK)
         self._blocked_until = now + block
-        self.is_on_trial = True
+        self.is_on_probation = True
         self._troubles.clear()
         return block
 
--- a/coltsfoottray/scheduler/strain.py
+++ b/coltsfoottray/scheduler/interference.py
@@ -17,7 +17,7 @@
 from coltsfoottray.jobs.model import StepSpec
 from coltsfoottray.scheduler.fleet import Worker
 
-__all__ = ["Outlook", "foresee", "speed_among"]
+__all__ = ["Forecast", "forecast_filler", "speed_beside"]
 
 # Taken for the margin of a service until its attendant has told it.
 _UNKNOWN_MARGIN = ServiceMargin(now=1.9, usual=2.4, least=1.5)
@@ -34,7 +34,7 @@
 _START_CAUTION = 1.5
 
 
-def speed_among(worker: Worker, spec: StepSpec, pressures: PressureTable) -> float:
+def speed_beside(worker: Worker, spec: StepSpec, pressures: PressureTable) -> float:
     """Return how fast a filler that is on `worker` can work beside the others."""
     return min(
         (
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Outlook:
+class Forecast:
     """What is foreseen of one more filler on a worker.
 
     Parameters
@@ -73,11 +73,13 @@
         return min(self.alone, self.beside)
 
 
-def foresee(worker: Worker, spec: StepSpec, pressures: PressureTable) -> Outlook:
+def forecast_filler(
+    worker: Worker, spec: StepSpec, pressures: PressureTable
+) -> Forecast:
     """Return what a filler would meet on `worker`."""
     wanted = max(spec.demand.processors, 1e-9)
     strains = _strains(worker, spec, pressures)
-    return Outlook(
+    return Forecast(
         alone=min(1.0, max(worker.processors_left, 0.0) / wanted),
         beside=min((strain.speed(strain.own) for strain in strains), default=1.0),
         is_safe=all(
--- a/coltsfoottray/scheduler/packing.py
+++ b/coltsfoottray/scheduler/packing.py
@@ -10,10 +10,10 @@
 
 from collections.abc import Sequence
 
-from coltsfoottray.scheduler.fit import may_hold
 from coltsfoottray.scheduler.fleet import PlacedRun, Worker
+from coltsfoottray.scheduler.worker_selection import can_host
 
-__all__ = ["choose_moves", "is_steady"]
+__all__ = ["choose_moves", "is_fully_running"]
 
 # To clear a worker of more services costs their users more than fillers gain by it.
 _MAX_MOVED = 4
@@ -49,7 +49,7 @@
     return []
 
 
-def is_steady(runs: Sequence[PlacedRun]) -> bool:
+def is_fully_running(runs: Sequence[PlacedRun]) -> bool:
     """Whether all runs of a step are at work, so that one of them may be stopped."""
     return len(runs) == len(runs[0].step.records) and all(
         run.is_released and not run.is_stopping and run.percent >= _AT_WORK_PERCENT
@@ -72,7 +72,7 @@
     for placed in sorted(services, key=lambda each: -each.reserved.processors):
         for other in others:
             extra = sum(each.step is placed.step for each in moved_by_id[other.id])
-            if may_hold(other, placed.step, room=room_by_id[other.id], extra=extra):
+            if can_host(other, placed.step, room=room_by_id[other.id], extra=extra):
                 room_by_id[other.id] = room_by_id[other.id] - placed.reserved
                 moved_by_id[other.id].append(placed)
                 break
--- a/coltsfoottray/scheduler/planner.py
+++ b/coltsfoottray/scheduler/planner.py
@@ -9,20 +9,20 @@
 from coltsfoottray.jobs.records import JobState, TaskPhase
 from coltsfoottray.logs import log_event
 from coltsfoottray.scheduler.cluster_state import ClusterState
-from coltsfoottray.scheduler.fit import (
-    Openings,
-    Patience,
+from coltsfoottray.scheduler.fleet import PlacedRun, Worker
+from coltsfoottray.scheduler.live import LiveJob, LiveStep
+from coltsfoottray.scheduler.packing import choose_moves, is_fully_running
+from coltsfoottray.scheduler.urgency import is_half_elapsed, urgency_key
+from coltsfoottray.scheduler.wait_reason import WaitReason, record_wait_reason
+from coltsfoottray.scheduler.worker_selection import (
+    FreeCapacityBounds,
+    Strictness,
     choose_gang,
     choose_worker,
     find_faster,
+    is_schedulable,
     list_candidates,
-    takes_work,
 )
-from coltsfoottray.scheduler.fleet import PlacedRun, Worker
-from coltsfoottray.scheduler.live import LiveJob, LiveStep
-from coltsfoottray.scheduler.order import is_half_over, urgency
-from coltsfoottray.scheduler.packing import choose_moves, is_steady
-from coltsfoottray.scheduler.wait_reason import WaitReason, record_wait_reason
 
 __all__ = ["Planner"]
 
@@ -70,7 +70,7 @@
         """Assign waiting tasks to workers; return the new runs."""
         self._round += 1
         self._ready = self._list_ready(now, now_ms)
-        openings = Openings(fleet=self._fleet, now=now)
+        openings = FreeCapacityBounds(fleet=self._fleet, now=now)
         placed, left = self._place_steps(self._ready, openings, now, now_ms)
         # Some dozens of steps that fit nowhere keep all behind them waiting for ever,
         # so of those not come to the ones go first whose last try is longest ago.
@@ -85,11 +85,15 @@
             ready += [step for step in job.steps() if step.can_start]
         for step in ready:
             step.inquiry.note_ready(now)
-        ready.sort(key=lambda step: urgency(step, self._holder, now_ms))
+        ready.sort(key=lambda step: urgency_key(step, self._holder, now_ms))
         return ready
 
     def _place_steps(
-        self, steps: list[LiveStep], openings: Openings, now: timedelta, now_ms: int
+        self,
+        steps: list[LiveStep],
+        openings: FreeCapacityBounds,
+        now: timedelta,
+        now_ms: int,
     ) -> tuple[list[PlacedRun], list[LiveStep]]:
         """Place steps in turn; return the runs, and the steps not come to."""
         placed: list[PlacedRun] = []
@@ -109,11 +113,13 @@
             misses += not new
         return placed, []
 
-    def _has_no_place(self, step: LiveStep, openings: Openings, now: timedelta) -> bool:
+    def _has_no_place(
+        self, step: LiveStep, openings: FreeCapacityBounds, now: timedelta
+    ) -> bool:
         """Whether it is soon told that no worker can take a task of a step."""
         if step.spec.is_filler:
             self._note_idle(step.job, now)
-        return not openings.may_take(
+        return not openings.may_fit(
             step.spec, service=self._board.terms_of(step.job).service
         )
 
@@ -148,9 +154,9 @@
                 worker = self._find_place(step, now, index, patience=patience)
                 if worker is None:
                     break
-                if patience is Patience.NONE:
+                if patience is Strictness.NONE:
                     # For the others something of the job runs now.
-                    patience = Patience.HALF
+                    patience = Strictness.HALF
                 step.job.idle_since = None
                 placed.append(self._assign(step, step.next_run(index), worker, now))
         if placed:
@@ -225,14 +231,14 @@
             workers = [
                 worker
                 for worker in self._fleet.worker_by_id.values()
-                if takes_work(worker, service, now)
+                if is_schedulable(worker, service, now)
             ]
             for placed in choose_moves(workers):
                 self._move_service(placed, now)
 
     def _move_service(self, placed: PlacedRun, now: timedelta) -> None:
         runs = [run for run in self._fleet.placed_runs() if run.step is placed.step]
-        if not is_steady(runs) or not self._has_place_elsewhere(placed, now):
+        if not is_fully_running(runs) or not self._has_place_elsewhere(placed, now):
             return
         log_event("decision:pack", run=str(placed.ref), worker=placed.worker)
         self._stop_to_move(placed)
@@ -242,7 +248,7 @@
 
         With tickets, few workers may run its step: once stopped it would wait for one.
         """
-        place = self._choose_worker(placed.step, now, {placed.worker}, Patience.WHOLE)
+        place = self._choose_worker(placed.step, now, {placed.worker}, Strictness.WHOLE)
         return (
             place is not None
             and place.id != placed.worker
@@ -276,7 +282,7 @@
                         "decision:evacuate",
                         run=str(placed.ref),
                         worker=worker.id,
-                        left_s=(worker.leaves - now).total_seconds(),
+                        left_s=(worker.leaves_at - now).total_seconds(),
                         percent=placed.percent,
                     )
 
@@ -286,13 +292,13 @@
         now: timedelta,
         index: int | None = None,
         *,
-        patience: Patience = Patience.WHOLE,
+        patience: Strictness = Strictness.WHOLE,
     ) -> Worker | None:
         avoid = set() if index is None else step.avoid_by_index.get(index, set())
         return self._choose_worker(step, now, avoid, patience)
 
     def _choose_worker(
-        self, step: LiveStep, now: timedelta, avoid: set[str], patience: Patience
+        self, step: LiveStep, now: timedelta, avoid: set[str], patience: Strictness
     ) -> Worker | None:
         return choose_worker(
             step,
@@ -305,7 +311,7 @@
             patience=patience,
         )
 
-    def _patience(self, job: LiveJob, now: timedelta, now_ms: int) -> Patience:
+    def _patience(self, job: LiveJob, now: timedelta, now_ms: int) -> Strictness:
         """Return how good a place a job's tasks can wait for.
 
         A job of which nothing runs while workers have room is lost to its caller,
@@ -313,10 +319,10 @@
         """
         self._note_idle(job, now)
         if job.idle_since is not None and now - job.idle_since > _MAX_IDLE:
-            return Patience.NONE
-        if is_half_over(job, self._holder, now_ms):
-            return Patience.HALF
-        return Patience.WHOLE
+            return Strictness.NONE
+        if is_half_elapsed(job, self._holder, now_ms):
+            return Strictness.HALF
+        return Strictness.WHOLE
 
     @staticmethod
     def _note_idle(job: LiveJob, now: timedelta) -> None:
@@ -337,13 +343,13 @@
         A step that no worker has room for is none of them: as the most urgent one it
         kept all questions to itself, and there is nobody to ask about.
         """
-        openings = Openings(fleet=self._fleet, now=now)
+        openings = FreeCapacityBounds(fleet=self._fleet, now=now)
         waiting: list[LiveStep] = []
         for step in self._ready:
             terms = self._board.terms_of(step.job)
             if (
                 terms.advice is not None
-                and openings.may_take(step.spec, service=terms.service)
+                and openings.may_fit(step.spec, service=terms.service)
                 and not step.valid_lives(now)
                 and step.can_start
             ):
@@ -375,7 +381,7 @@
         left = worked * (100.0 / placed.percent - 1.0)
     else:
         left = timedelta(milliseconds=spec.estimate_ms) - worked
-    return now + left * _LATENESS < worker.leaves
+    return now + left * _LATENESS < worker.leaves_at
 
 
 def _may_move(placed: PlacedRun, now: timedelta) -> bool:
--- a/coltsfoottray/scheduler/order.py
+++ b/coltsfoottray/scheduler/urgency.py
@@ -14,7 +14,7 @@
 from coltsfoottray.jobs.config import ConfigHolder
 from coltsfoottray.scheduler.live import LiveJob, LiveStep
 
-__all__ = ["is_half_over", "objective_ms", "urgency"]
+__all__ = ["is_half_elapsed", "objective_ms", "urgency_key"]
 
 # A job that takes more than three times its objective is worth nothing to its
 # caller: the users' own measure of late work.
@@ -32,12 +32,12 @@
     return terms.slowdown_factor * job.chain_ms + terms.target_latency_ms
 
 
-def is_half_over(job: LiveJob, holder: ConfigHolder, now_ms: int) -> bool:
+def is_half_elapsed(job: LiveJob, holder: ConfigHolder, now_ms: int) -> bool:
     """Whether half of the time is over in which a job is on time."""
     return now_ms > job.accepted.accepted_ms + objective_ms(job, holder) / 2
 
 
-def urgency(
+def urgency_key(
     step: LiveStep, holder: ConfigHolder, now_ms: int
 ) -> tuple[int, int, float]:
     """Return a sort key; the smallest goes first."""
--- a/coltsfoottray/scheduler/fit.py
+++ b/coltsfoottray/scheduler/worker_selection.py
@@ -25,19 +25,19 @@
 from coltsfoottray.agent.pressure import PressureTable
 from coltsfoottray.jobs.model import StepSpec
 from coltsfoottray.scheduler.fleet import Fleet, PlacedRun, Worker
+from coltsfoottray.scheduler.interference import Forecast, forecast_filler, speed_beside
 from coltsfoottray.scheduler.live import LiveStep
-from coltsfoottray.scheduler.strain import Outlook, foresee, speed_among
 from coltsfoottray.types import Resources
 
 __all__ = [
-    "Openings",
-    "Patience",
+    "FreeCapacityBounds",
+    "Strictness",
+    "can_host",
     "choose_gang",
     "choose_worker",
     "find_faster",
+    "is_schedulable",
     "list_candidates",
-    "may_hold",
-    "takes_work",
 ]
 
 # A worker that has not reported for so long takes nothing new: two reports of one
@@ -45,7 +45,7 @@
 _SILENCE = timedelta(seconds=2.5)
 
 
-class Patience(enum.Enum):
+class Strictness(enum.Enum):
     """How good a place a filler can wait for."""
 
     WHOLE = "whole"
@@ -72,9 +72,9 @@
 
 
 _LEAST_SPEEDS_BY_PATIENCE = {
-    Patience.WHOLE: _LeastSpeeds(alone=0.45, beside=0.8),
-    Patience.HALF: _LeastSpeeds(alone=0.45, beside=0.4),
-    Patience.NONE: _LeastSpeeds(alone=0.0, beside=0.0),
+    Strictness.WHOLE: _LeastSpeeds(alone=0.45, beside=0.8),
+    Strictness.HALF: _LeastSpeeds(alone=0.45, beside=0.4),
+    Strictness.NONE: _LeastSpeeds(alone=0.0, beside=0.0),
 }
 
 # One that works slower than the first is moved to where it would work faster than the
@@ -87,7 +87,7 @@
 _Cost = tuple[float, ...]
 
 
-class Openings:
+class FreeCapacityBounds:
     """The most room that any worker has for new work, by service and label.
 
     A task that needs more has no place anywhere; that is told without a look at each
@@ -99,7 +99,7 @@
         self._now = now
         self._most_by_pool: dict[tuple[str, str], Resources | None] = {}
 
-    def may_take(self, spec: StepSpec, *, service: str) -> bool:
+    def may_fit(self, spec: StepSpec, *, service: str) -> bool:
         """Whether some worker may have room for a task of a step."""
         pool = service, spec.label
         if pool not in self._most_by_pool:
@@ -111,7 +111,7 @@
         rooms = [
             worker.room
             for worker in self._fleet.worker_by_id.values()
-            if takes_work(worker, service, self._now) and _carries(worker, label)
+            if is_schedulable(worker, service, self._now) and _carries(worker, label)
         ]
         if not rooms:
             return None
@@ -131,7 +131,7 @@
     now: timedelta,
     avoid: Collection[str] = (),
     allowed: Collection[str] | None = None,
-    patience: Patience = Patience.WHOLE,
+    patience: Strictness = Strictness.WHOLE,
 ) -> Worker | None:
     """Return the best worker for one task of `step`, none if none is fit.
 
@@ -148,17 +148,17 @@
     fit = [
         worker
         for worker in fleet.worker_by_id.values()
-        if takes_work(worker, service, now)
+        if is_schedulable(worker, service, now)
         and (allowed is None or worker.life in allowed)
-        and may_hold(worker, step, room=worker.room, extra=0)
+        and can_host(worker, step, room=worker.room, extra=0)
     ]
     if step.spec.is_filler:
         fit = [
             worker
             for worker in fit
             # A worker that fails all it starts is empty, and so the fastest place.
-            if (patience is Patience.NONE or worker.id not in avoid)
-            and _is_good(foresee(worker, step.spec, pressures), patience)
+            if (patience is Strictness.NONE or worker.id not in avoid)
+            and _is_good(forecast_filler(worker, step.spec, pressures), patience)
         ]
     return min(
         fit,
@@ -167,13 +167,13 @@
     )
 
 
-def _is_good(outlook: Outlook, patience: Patience) -> bool:
+def _is_good(outlook: Forecast, patience: Strictness) -> bool:
     """Whether a place is as good as a filler can wait for."""
     least = _LEAST_SPEEDS_BY_PATIENCE[patience]
     return (
         outlook.alone >= least.alone
         and outlook.beside >= least.beside
-        and (patience is Patience.NONE or outlook.is_safe)
+        and (patience is Strictness.NONE or outlook.is_safe)
     )
 
 
@@ -191,7 +191,7 @@
     workers = [
         worker
         for worker in fleet.worker_by_id.values()
-        if takes_work(worker, service, now)
+        if is_schedulable(worker, service, now)
         and (allowed is None or worker.life in allowed)
     ]
     if step.spec.is_one_rack:
@@ -215,7 +215,8 @@
     fit = [
         worker
         for worker in fleet.worker_by_id.values()
-        if takes_work(worker, service, now) and _suits(worker, step.spec, worker.room)
+        if is_schedulable(worker, service, now)
+        and _suits(worker, step.spec, worker.room)
     ]
     return sorted(fit, key=lambda worker: (cost(worker), worker.id))
 
@@ -231,7 +232,7 @@
         fit = [
             worker
             for worker in workers
-            if may_hold(
+            if can_host(
                 worker,
                 step,
                 room=room_by_id[worker.id],
@@ -247,7 +248,7 @@
     return chosen
 
 
-def takes_work(worker: Worker, service: str, now: timedelta) -> bool:
+def is_schedulable(worker: Worker, service: str, now: timedelta) -> bool:
     """Whether a worker of a service's pool is known to live and takes new work."""
     return (
         worker.service == service
@@ -257,11 +258,11 @@
         and worker.session > 0
         and now - worker.last_heard < _SILENCE
         and worker.blocked_until <= now
-        and not worker.is_being_tried(now)
+        and not worker.has_probe_running(now)
     )
 
 
-def may_hold(worker: Worker, step: LiveStep, *, room: Resources, extra: int) -> bool:
+def can_host(worker: Worker, step: LiveStep, *, room: Resources, extra: int) -> bool:
     """Whether a worker suits one more task of a step.
 
     Parameters
@@ -301,7 +302,7 @@
             opens = not worker.service_images and not _fills_half(worker, step)
             return is_far, float(opens), float(len(others)), left
         if spec.is_filler:
-            outlook = foresee(worker, spec, pressures)
+            outlook = forecast_filler(worker, spec, pressures)
             risk = float(not outlook.is_safe)
             return (
                 is_far,
@@ -310,7 +311,7 @@
                 _scarcity(worker, outlook),
                 -worker.processors_left,
             )
-        return is_far, worker.busy / max(worker.capacity.processors, 1e-9)
+        return is_far, worker.busy_processors / max(worker.capacity.processors, 1e-9)
 
     return cost
 
@@ -326,7 +327,7 @@
     return worker.share_of(count * step.spec.demand.processors) >= _HALF
 
 
-def _scarcity(worker: Worker, outlook: Outlook) -> float:
+def _scarcity(worker: Worker, outlook: Forecast) -> float:
     """Return how much a place is to be saved for others; the least is taken first."""
     if not worker.service_images:
         return 1.0
@@ -344,11 +345,11 @@
     """Return a worker on which a crawling filler would work at full speed, if any."""
     worker = fleet.worker_by_id[placed.worker]
     spec = placed.step.spec
-    if speed_among(worker, spec, pressures) >= _CRAWL:
+    if speed_beside(worker, spec, pressures) >= _CRAWL:
         return None
     place = choose_worker(
         placed.step, fleet, pressures, service=service, now=now, avoid=[worker.id]
     )
     if place is None or place is worker:
         return None
-    return place if foresee(place, spec, pressures).speed >= _FAST else None
+    return place if forecast_filler(place, spec, pressures).speed >= _FAST else None
