--- a/coltsfoottray/scheduler/cluster_state.py
+++ b/coltsfoottray/scheduler/cluster_state.py
@@ -54,7 +54,7 @@
                     step=step,
                     worker=task.worker,
                     life=task.life,
-                    placed=now,
+                    placed_at=now,
                     is_released=True,
                     is_stopping=job.record.state.is_final,
                 )
@@ -277,7 +277,7 @@
         """Note what ends told at once say of the worker; good ones speak first."""
         for placed, kind in ended:
             if kind is EndKind.DONE:
-                worker.health.record_success(placed.placed)
+                worker.health.record_success(placed.placed_at)
         for placed, kind in ended:
             if kind is EndKind.FAILED:
                 self._note_bad(worker, placed, now)
@@ -287,10 +287,10 @@
         placed.step.avoid_by_index.setdefault(task.index, set()).add(worker.id)
         block = worker.health.record_failure(
             task.job,
-            placed=placed.placed,
+            placed_at=placed.placed_at,
             now=now,
             running=[
-                each.placed
+                each.placed_at
                 for each in worker.held_by_ref.values()
                 if each.is_released and not each.is_stopping
             ],
--- a/coltsfoottray/scheduler/fleet.py
+++ b/coltsfoottray/scheduler/fleet.py
@@ -40,7 +40,7 @@
         Its assignment is stored, so the worker may be told.
     is_stopping : bool
         It is to end; until its end is known it takes room.
-    placed : timedelta
+    placed_at : timedelta
         When it was assigned, by the scheduler's clock.
     """
 
@@ -48,7 +48,7 @@
     step: LiveStep
     worker: str
     life: str
-    placed: timedelta
+    placed_at: timedelta
     is_released: bool = False
     is_stopping: bool = False
     is_stop_sent: bool = False
@@ -56,7 +56,7 @@
     figure: float = 0.0
 
     def __post_init__(self) -> None:
-        self.progress = Progress(begun=self.placed)
+        self.progress = Progress(begun=self.placed_at)
 
     @property
     def speed(self) -> float:
@@ -147,7 +147,7 @@
 
     def __post_init__(self) -> None:
         self.health = WorkerHealth()
-        self.taken = Resources()
+        self.reserved = Resources()
         self.busy_processors = 0.0
         self.margin_by_image: dict[str, ServiceMargin] = {}
         self.service_images: list[str] = []
@@ -156,10 +156,10 @@
     @property
     def room(self) -> Resources:
         """What is not yet taken of its capacity."""
-        return self.capacity - self.taken
+        return self.capacity - self.reserved
 
     @property
-    def processors_left(self) -> float:
+    def idle_processors(self) -> float:
         """Processors that none of its tasks is likely to use."""
         return self.capacity.processors - self.busy_processors
 
@@ -191,7 +191,7 @@
         Tasks placed together after a block would all fail where it is still bad.
         """
         return self.health.is_on_probation and any(
-            self.blocked_until <= placed.placed and now - placed.placed < _TRIAL
+            self.blocked_until <= placed.placed_at and now - placed.placed_at < _TRIAL
             for placed in self.held_by_ref.values()
         )
 
@@ -219,7 +219,7 @@
     def _sum_up(self) -> None:
         """Add up anew: sums kept by adding and taking away would drift."""
         held = self.held_by_ref.values()
-        self.taken = Resources.total([placed.reserved for placed in held])
+        self.reserved = Resources.total([placed.reserved for placed in held])
         self.service_images = sorted(
             {
                 placed.step.spec.image
--- a/coltsfoottray/scheduler/health.py
+++ b/coltsfoottray/scheduler/health.py
@@ -41,13 +41,13 @@
     """A task that failed or stalled, and when it was placed and found so."""
 
     job: JobId
-    placed: timedelta
+    placed_at: timedelta
     seen: timedelta
 
     @property
     def age(self) -> timedelta:
         """How long after its placement it was found to have gone wrong."""
-        return self.seen - self.placed
+        return self.seen - self.placed_at
 
 
 class WorkerHealth:
@@ -61,15 +61,15 @@
         self._blocked_until = timedelta.min
         self.is_on_probation = False
 
-    def record_success(self, placed: timedelta) -> None:
-        """Note that a task ended well that was placed at `placed`.
+    def record_success(self, placed_at: timedelta) -> None:
+        """Note that a task ended well that was placed at `placed_at`.
 
         It clears the worker only of trouble with tasks placed no later: a worker that
         fails all it starts still ends well what it started earlier.
         """
-        self._last_good = max(self._last_good, placed)
-        self._troubles = [each for each in self._troubles if each.placed > placed]
-        if placed >= self._last_bad:
+        self._last_good = max(self._last_good, placed_at)
+        self._troubles = [each for each in self._troubles if each.placed_at > placed_at]
+        if placed_at >= self._last_bad:
             self._block = _FIRST_BLOCK
             self.is_on_probation = False
 
@@ -77,7 +77,7 @@
         self,
         job: JobId,
         *,
-        placed: timedelta,
+        placed_at: timedelta,
         now: timedelta,
         running: Iterable[timedelta],
     ) -> timedelta | None:
@@ -91,9 +91,9 @@
             When those tasks were placed that are still at work here.
         """
         self._last_bad = now
-        if placed <= self._last_good:
+        if placed_at <= self._last_good:
             return None
-        self._troubles.append(_Trouble(job=job, placed=placed, seen=now))
+        self._troubles.append(_Trouble(job=job, placed_at=placed_at, seen=now))
         self._troubles = [each for each in self._troubles if now - each.seen <= _MEMORY]
         if now < self._blocked_until:
             # What was begun before the block fails one by one; that is no news.
@@ -113,6 +113,9 @@
 
     def _count_survivors(self, running: Iterable[timedelta], now: timedelta) -> int:
         """Count the tasks that have outlived, by their age, one that went wrong."""
-        first = min(each.placed for each in self._troubles)
+        first = min(each.placed_at for each in self._troubles)
         telling_age = min(each.age for each in self._troubles)
-        return sum(placed >= first and now - placed > telling_age for placed in running)
+        return sum(
+            placed_at >= first and now - placed_at > telling_age
+            for placed_at in running
+        )
--- a/coltsfoottray/scheduler/interference.py
+++ b/coltsfoottray/scheduler/interference.py
@@ -80,7 +80,7 @@
     wanted = max(spec.demand.processors, 1e-9)
     strains = _strains(worker, spec, pressures)
     return Forecast(
-        alone=min(1.0, max(worker.processors_left, 0.0) / wanted),
+        alone=min(1.0, max(worker.idle_processors, 0.0) / wanted),
         beside=min((strain.speed(strain.own) for strain in strains), default=1.0),
         is_safe=all(
             strain.margin.now - strain.worst >= _START_MARGIN for strain in strains
--- a/coltsfoottray/scheduler/planner.py
+++ b/coltsfoottray/scheduler/planner.py
@@ -185,7 +185,7 @@
         if job.record.state is JobState.QUEUED:
             job.record.state = JobState.RUNNING
         placed = PlacedRun(
-            ref=ref, step=step, worker=worker.id, life=worker.life, placed=now
+            ref=ref, step=step, worker=worker.id, life=worker.life, placed_at=now
         )
         worker.hold(placed)
         return placed
@@ -376,7 +376,7 @@
     spec = placed.step.spec
     if spec.is_service:
         return False
-    worked = now - placed.placed
+    worked = now - placed.placed_at
     if placed.percent >= _TELLING_PERCENT:
         left = worked * (100.0 / placed.percent - 1.0)
     else:
@@ -391,6 +391,6 @@
         and not spec.is_gang
         and placed.is_released
         and not placed.is_stopping
-        and now - placed.placed > _SETTLING
+        and now - placed.placed_at > _SETTLING
         and (spec.has_checkpoints or placed.percent < _MOVABLE_PERCENT)
     )
--- a/coltsfoottray/scheduler/worker_selection.py
+++ b/coltsfoottray/scheduler/worker_selection.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class _LeastSpeeds:
+class _MinSpeeds:
     """Parts of its full speed that a filler must be able to work at.
 
     Parameters
@@ -72,9 +72,9 @@
 
 
 _LEAST_SPEEDS_BY_PATIENCE = {
-    Strictness.WHOLE: _LeastSpeeds(alone=0.45, beside=0.8),
-    Strictness.HALF: _LeastSpeeds(alone=0.45, beside=0.4),
-    Strictness.NONE: _LeastSpeeds(alone=0.0, beside=0.0),
+    Strictness.WHOLE: _MinSpeeds(alone=0.45, beside=0.8),
+    Strictness.HALF: _MinSpeeds(alone=0.45, beside=0.4),
+    Strictness.NONE: _MinSpeeds(alone=0.0, beside=0.0),
 }
 
 # One that works slower than the first is moved to where it would work faster than the
@@ -309,7 +309,7 @@
                 risk,
                 -round(outlook.speed, 1),
                 _scarcity(worker, outlook),
-                -worker.processors_left,
+                -worker.idle_processors,
             )
         return is_far, worker.busy_processors / max(worker.capacity.processors, 1e-9)
 
--- a/tests/steps/health_steps.py
+++ b/tests/steps/health_steps.py
@@ -25,10 +25,10 @@
 @step('a task of job "{job}" fails there at second {second:d}')
 def fail(context, job, second):
     now = timedelta(seconds=second)
-    placed = context.placed_by_job.pop(job, now)
+    placed_at = context.placed_by_job.pop(job, now)
     running = context.placed_by_job.values()
     block = context.health.record_failure(
-        JobId(job), placed=placed, now=now, running=running
+        JobId(job), placed_at=placed_at, now=now, running=running
     )
     context.blocks.append(block)
 
