--- a/coltsfoottray/scheduler/board.py
+++ b/coltsfoottray/scheduler/cluster_state.py
@@ -11,19 +11,19 @@
 from coltsfoottray.jobs.model import AcceptedJob, JobId, QueueTerms, RunRef
 from coltsfoottray.jobs.records import JobState, TaskPhase
 from coltsfoottray.logs import log_event
-from coltsfoottray.scheduler.fleet import MAX_STRAY, Fleet, PlacedRun, Worker
-from coltsfoottray.scheduler.lengths import LengthBook
+from coltsfoottray.scheduler.fleet import MAX_ORPHAN_TIME, Fleet, PlacedRun, Worker
+from coltsfoottray.scheduler.lengths import LengthEstimator
 from coltsfoottray.scheduler.live import LiveJob, LiveStep
 from coltsfoottray.scheduler.messages import RejectedStart, Report
 
-__all__ = ["Board"]
+__all__ = ["ClusterState"]
 
 # A worker that refused a start as unhealthy or full is left alone for a while:
 # two of its attendant's reports.
 _BLOCK = timedelta(seconds=2)
 
 
-class Board:
+class ClusterState:
     """Jobs, workers and runs; changed by one task only, the scheduler's rounds."""
 
     def __init__(self, *, holder: ConfigHolder, fleet: Fleet) -> None:
@@ -31,7 +31,7 @@
         self.active_by_id: dict[JobId, LiveJob] = {}
         self.fleet = fleet
         self.pressures = PressureTable()
-        self.lengths = LengthBook()
+        self.lengths = LengthEstimator()
         self._holder = holder
 
     # What was stored.
@@ -54,7 +54,7 @@
                     step=step,
                     worker=task.worker,
                     life=task.life,
-                    placed=now,
+                    placed_at=now,
                     is_released=True,
                     is_stopping=job.record.state.is_final,
                 )
@@ -81,7 +81,7 @@
 
     # What attendants say.
 
-    def take_report(self, report: Report, now: timedelta, now_ms: int) -> int:
+    def apply_report(self, report: Report, now: timedelta, now_ms: int) -> int:
         """Take in a report; return the last end that need not be told again."""
         worker = self.fleet.worker_by_id[report.worker]
         if not self._take_life(worker, report, now, now_ms):
@@ -101,7 +101,7 @@
             )
         for run, kind in ended:
             if kind is EndKind.DONE:
-                run.note_done(now)
+                run.record_completion(now)
         for end in report.ends:
             self._take_end(worker, end.ref, end.kind, end.checkpoint, now_ms)
         self._note_health(worker, ended, now)
@@ -109,15 +109,15 @@
         for rejected in report.rejected:
             self._take_rejection(worker, rejected, now, now_ms)
         self.pressures.update(worker.id, report.pressures)
-        worker.strays.clear()
+        worker.orphans.clear()
         for status in report.running:
             placed = worker.held_by_ref.get(status.ref)
             if placed is None:
-                worker.strays.add(status.ref)
+                worker.orphans.add(status.ref)
                 continue
-            placed.note_status(status.percent, status.figure, now)
+            placed.update_status(status.percent, status.figure, now)
             self._take_checkpoint(placed, status)
-        worker.note_use()
+        worker.recompute_usage()
         return max((end.number for end in report.ends), default=0)
 
     @staticmethod
@@ -130,12 +130,12 @@
             keeper.checkpoint = status.checkpoint
             placed.step.job.has_new_checkpoints = True
 
-    def expire(self, now: timedelta, now_ms: int) -> None:
+    def expire_leases(self, now: timedelta, now_ms: int) -> None:
         """Give up the runs of workers whose lease has surely run out."""
         for worker in self.fleet.worker_by_id.values():
-            if not worker.held_by_ref or worker.surely_over >= now:
+            if not worker.held_by_ref or worker.runs_end_by >= now:
                 continue
-            silent_s = (now - worker.heard).total_seconds()
+            silent_s = (now - worker.last_heard).total_seconds()
             why = f"its lease is over, its attendant silent for {silent_s:.1f} s"
             held = list(worker.held_by_ref.values())
             self._lose(worker, held, now_ms, why=why)
@@ -145,13 +145,13 @@
         self, worker: Worker, report: Report, now: timedelta, now_ms: int
     ) -> bool:
         """Settle what became of earlier lives' runs; return whether all is settled."""
-        others = worker.held_of_others(report.life)
+        others = worker.held_by_other_lives(report.life)
         if others and not self._has_shown_its_runs(worker, report, now):
             return False
         if report.is_replaced:
-            worker.replaced = worker.replaced or now
+            worker.replaced_since = worker.replaced_since or now
         elif report.life:
-            worker.replaced = None
+            worker.replaced_since = None
         if report.life and report.life != worker.life:
             worker.acknowledged = 0
             worker.life = report.life
@@ -167,9 +167,9 @@
         old life they ran beside their successors. A look in a later session shows
         what is there and shuts out the rest.
         """
-        if worker.replaced is None:
-            worker.replaced = now
-        if now - worker.replaced > MAX_STRAY:
+        if worker.replaced_since is None:
+            worker.replaced_since = now
+        if now - worker.replaced_since > MAX_ORPHAN_TIME:
             return True
         return 0 < worker.session == report.session == report.looked
 
@@ -218,7 +218,9 @@
         worker.rack = report.rack
         worker.margin_by_image = report.margin_by_image
         if report.is_draining and not worker.is_draining:
-            worker.leaves = worker.heard + timedelta(milliseconds=report.remaining_ms)
+            worker.leaves_at = worker.last_heard + timedelta(
+                milliseconds=report.remaining_ms
+            )
         worker.is_draining = report.is_draining
         was_reachable = worker.is_reachable
         worker.is_reachable = report.shows_life
@@ -227,7 +229,7 @@
                 "decision:out-of-reach",
                 worker=worker.id,
                 life=report.life,
-                lease_left_s=(worker.lease_end - worker.heard).total_seconds(),
+                lease_left_s=(worker.lease_end - worker.last_heard).total_seconds(),
                 runs=[str(ref) for ref in worker.held_by_ref],
             )
 
@@ -275,7 +277,7 @@
         """Note what ends told at once say of the worker; good ones speak first."""
         for placed, kind in ended:
             if kind is EndKind.DONE:
-                worker.health.note_good(placed.placed)
+                worker.health.record_success(placed.placed_at)
         for placed, kind in ended:
             if kind is EndKind.FAILED:
                 self._note_bad(worker, placed, now)
@@ -283,12 +285,12 @@
     def _note_bad(self, worker: Worker, placed: PlacedRun, now: timedelta) -> None:
         task = placed.ref.task
         placed.step.avoid_by_index.setdefault(task.index, set()).add(worker.id)
-        block = worker.health.note_bad(
+        block = worker.health.record_failure(
             task.job,
-            placed=placed.placed,
+            placed_at=placed.placed_at,
             now=now,
             running=[
-                each.placed
+                each.placed_at
                 for each in worker.held_by_ref.values()
                 if each.is_released and not each.is_stopping
             ],
@@ -311,7 +313,7 @@
         checkpoint: str,
         now_ms: int,
     ) -> None:
-        worker.let_go(ref)
+        worker.release(ref)
         job = self.job_by_id.get(ref.task.job)
         step = None if job is None else job.find(ref.task)
         if job is None or step is None:
