--- a/coltsfoottray/leases/__init__.py
+++ b/coltsfoottray/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Leases in the platform's table: entries, partitions of the queue, workers."""
+"""Leases in the table: of entries, of partitions of the queue and of workers."""
 
 from __future__ import annotations
 
--- a/coltsfoottray/leases/entry.py
+++ b/coltsfoottray/leases/entry.py
@@ -1,4 +1,4 @@
-"""An entry's own lease: its row among the entries."""
+"""An entry's lease, kept as its row in the list of entries."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 class EntryLease(Service):
-    """Registers the entry, renews its row, and removes lapsed entries' rows.
+    """Registers the entry, renews its row and deletes the rows of lapsed entries.
 
-    Nothing that must always hold rests on this lease's timing: it only finds
-    entries and spreads the queue's partitions. What an entry writes about tasks
-    is fenced by the partition's row.
+    No invariant depends on the timing of this lease: it only serves to discover
+    entries and to distribute the queue's partitions. An owner's writes to task
+    rows are fenced by the partition's row.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
             await self._try_tick()
 
     async def stop(self) -> None:
-        """Remove the row, so that others need not wait for the lapse."""
+        """Delete the row, so that other entries need not wait for its lapse."""
         if self._version is None:
             return
         key = ENTRY_PREFIX + self._describe().entry
@@ -94,12 +94,12 @@
 
     async def _remove_lapsed(self, rows: Sequence[Row]) -> None:
         lapsed = self._observer.observe(rows)
-        own = ENTRY_PREFIX + self._describe().entry
+        own_key = ENTRY_PREFIX + self._describe().entry
         for row in lapsed:
-            if row.key != own:
+            if row.key != own_key:
                 put = Put(key=row.key, version=row.version)
                 await self._table.commit(Transaction(puts=[put]))
                 log_event("lease:entry-lapsed", row=row.key)
-        gone = {row.key for row in lapsed}
-        live = [row for row in rows if row.key not in gone]
+        lapsed_keys = {row.key for row in lapsed}
+        live = [row for row in rows if row.key not in lapsed_keys]
         self._directory.put([row.decode(EntryRecord) for row in live])
--- a/coltsfoottray/leases/lost_workers.py
+++ b/coltsfoottray/leases/lost_workers.py
@@ -1,4 +1,4 @@
-"""Declaring workers lost whose lease has lapsed."""
+"""Detection of workers whose lease has lapsed."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 
 class LostWorkerDetector(Service):
-    """Reads the workers' rows, and marks those lost that are not renewed.
+    """Marks workers as lost whose lease rows are no longer renewed.
 
-    Marking is a write conditional on the version last seen: a holder that
-    renews at the same moment either comes first, and nothing is lost, or meets
-    the mark and knows that its tasks are no longer its own.
+    The mark is written only if the row still has the version last read. A holder
+    that renews at the same moment either writes first, and the worker is not
+    lost, or finds the mark and learns that its tasks are no longer bound to it.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self._observer = LeaseObserver(
             clock=clock, lease=lease, max_gap=self._interval * 2
         )
-        self._dead_term_by_worker: dict[AttendantId, int] = {}
+        self._last_ended_term_by_worker: dict[AttendantId, int] = {}
 
     async def run(  # noqa: D102
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -54,8 +54,8 @@
             await self._clock.sleep(self._interval)
 
     def has_term_ended(self, worker: AttendantId, term: int) -> bool:
-        """Whether tasks bound to `term` of `worker` certainly run no more."""
-        return term <= self._dead_term_by_worker.get(worker, 0)
+        """Return whether tasks bound to `term` of `worker` have certainly stopped."""
+        return term <= self._last_ended_term_by_worker.get(worker, 0)
 
     async def _tick(self) -> None:
         rows = await self._table.scan(WORKER_PREFIX)
@@ -64,11 +64,11 @@
             lease = row.decode(WorkerLeaseRow)
             if lease.state is LeaseState.HELD and row.key in lapsed:
                 if await self._mark_lost(row, lease):
-                    self._dead_term_by_worker[lease.worker] = lease.term
+                    self._last_ended_term_by_worker[lease.worker] = lease.term
             else:
                 is_lost = lease.state is LeaseState.LOST
-                dead = lease.term if is_lost else lease.term - 1
-                self._dead_term_by_worker[lease.worker] = dead
+                ended = lease.term if is_lost else lease.term - 1
+                self._last_ended_term_by_worker[lease.worker] = ended
 
     async def _mark_lost(self, row: Row, lease: WorkerLeaseRow) -> bool:
         lost = msgspec.structs.replace(lease, state=LeaseState.LOST)
--- a/coltsfoottray/leases/observer.py
+++ b/coltsfoottray/leases/observer.py
@@ -1,4 +1,4 @@
-"""Judging from outside whether the holder of a lease row still renews it."""
+"""Detection of lapsed leases from repeated readings of their rows."""
 
 from __future__ import annotations
 
@@ -13,26 +13,27 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Sighting:
+class _Observation:
     version: int
-    since: timedelta
+    first_read_at: timedelta
 
 
 class LeaseObserver:
-    """Finds rows that were not written for a whole lease.
+    """Finds rows that have not been written for the length of a lease.
 
-    Only this process's monotonic clock is used, so that the calendars of two
-    VMs need not agree: the holder counts its lease from before it sent the
-    renewal, the observer from after it first read it, which is always later.
+    Only this process's monotonic clock is used, so the wall clocks of two VMs
+    need not agree. The holder counts its lease from before it sends a renewal,
+    the observer from after it first reads that renewal, which is always later.
 
     Parameters
     ----------
     lease : timedelta
         The length of the lease.
     max_gap : timedelta
-        Two readings further apart than this start the observation anew. After
-        an outage of the table nobody could renew; whoever comes back first must
-        not take that for a lapse, so every holder has a whole lease to renew.
+        The observation starts over when two readings are further apart than
+        this. During an outage of the table no holder can renew, and the first
+        reader after it must not treat that as a lapse. Starting over gives
+        every holder a whole lease in which to renew.
     """
 
     def __init__(self, *, clock: Clock, lease: timedelta, max_gap: timedelta) -> None:
@@ -40,25 +41,27 @@
         self._lease = lease
         self._max_gap = max_gap
         self._read_at: timedelta | None = None
-        self._sighting_by_key: dict[str, _Sighting] = {}
+        self._observation_by_key: dict[str, _Observation] = {}
 
     def observe(self, rows: Sequence[Row]) -> list[Row]:
-        """Take one reading in and return the rows whose lease has lapsed."""
+        """Record one reading and return the rows whose lease has lapsed."""
         now = self._clock.elapsed()
         if self._read_at is None or now - self._read_at > self._max_gap:
-            self._sighting_by_key.clear()
+            self._observation_by_key.clear()
         self._read_at = now
-        before = self._sighting_by_key
-        self._sighting_by_key = {
-            row.key: self._sight(row, before.get(row.key), now) for row in rows
+        previous = self._observation_by_key
+        self._observation_by_key = {
+            row.key: self._observe_row(row, previous.get(row.key), now) for row in rows
         }
         return [
             row
             for row in rows
-            if now - self._sighting_by_key[row.key].since > self._lease
+            if now - self._observation_by_key[row.key].first_read_at > self._lease
         ]
 
-    def _sight(self, row: Row, before: _Sighting | None, now: timedelta) -> _Sighting:
-        if before is not None and before.version == row.version:
-            return before
-        return _Sighting(version=row.version, since=now)
+    def _observe_row(
+        self, row: Row, previous: _Observation | None, now: timedelta
+    ) -> _Observation:
+        if previous is not None and previous.version == row.version:
+            return previous
+        return _Observation(version=row.version, first_read_at=now)
--- a/coltsfoottray/leases/partitions.py
+++ b/coltsfoottray/leases/partitions.py
@@ -1,4 +1,4 @@
-"""Partitions of the queue, each owned by one entry."""
+"""Partitions of the task queue, each owned by one entry."""
 
 from __future__ import annotations
 
@@ -26,7 +26,8 @@
     "rendezvous",
 ]
 
-# More than there are entries, so that they spread; few enough to read at once.
+# More partitions than entries, so that they spread over the entries; few enough that
+# one scan reads all their rows.
 PARTITION_COUNT = 16
 _PREFIX = "partition/"
 
@@ -39,8 +40,8 @@
 def partition_of(customer: CustomerId) -> int:
     """Return the partition that holds all of a customer's tasks.
 
-    One owner sees everything a customer runs, so its quota is kept without
-    asking anybody.
+    One owner sees everything that a customer runs, so it enforces the quota
+    without asking other entries.
     """
     digest = hashlib.blake2b(customer.encode(), digest_size=4).digest()
     return int.from_bytes(digest, "big") % PARTITION_COUNT
@@ -52,7 +53,7 @@
 
 
 def rendezvous(key: str, ids: Iterable[str]) -> str:
-    """Return the id that highest-random-weight hashing gives `key`."""
+    """Return the id that rendezvous (highest-random-weight) hashing assigns `key`."""
 
     def weight(candidate: str) -> bytes:
         return hashlib.blake2b(f"{key}|{candidate}".encode(), digest_size=8).digest()
@@ -61,11 +62,11 @@
 
 
 class PartitionOwnership(Service):
-    """Takes, keeps and hands over partitions.
+    """Acquires, keeps and hands over partitions.
 
-    The version of the partition's row is its epoch. Each write about a task
-    names it as a condition, so an owner that was replaced while it was paused
-    writes nothing more.
+    The version of the partition's row is its epoch. Each write of an owner to a
+    task row is conditional on the epoch, so an owner that was replaced while it
+    was paused can no longer write.
     """
 
     def __init__(
@@ -97,59 +98,61 @@
             await self._try_tick()
 
     async def wait_changed(self) -> None:
-        """Return after the set of owned partitions has changed."""
+        """Wait until the set of owned partitions has changed."""
         await self._changed.wait()
 
     def drop(self, partition: int) -> None:
-        """Stop owning a partition whose epoch has moved on."""
+        """Remove a partition that this entry no longer owns at the known epoch."""
         if self.epoch_by_partition.pop(partition, None) is not None:
-            self._signal()
+            self._notify_changed()
 
     async def _try_tick(self) -> None:
         try:
             rows = await self._table.scan(_PREFIX)
             row_by_key = {row.key: row for row in rows}
             for partition in range(PARTITION_COUNT):
-                await self._tend(partition, row_by_key.get(partition_key(partition)))
+                await self._reconcile(
+                    partition, row_by_key.get(partition_key(partition))
+                )
         except TableUnavailable as error:
             log_event("lease:partitions-untended", error=str(error))
 
-    async def _tend(self, partition: int, row: Row | None) -> None:
+    async def _reconcile(self, partition: int, row: Row | None) -> None:
         live = self._directory.record_by_id
         if self._entry not in live:
             return
-        wanted = live[EntryId(rendezvous(partition_key(partition), live))]  # type: ignore[arg-type]
+        preferred = live[EntryId(rendezvous(partition_key(partition), live))]  # type: ignore[arg-type]
         if row is None:
-            if wanted.entry == self._entry:
-                await self._write(partition, ABSENT, wanted)
+            if preferred.entry == self._entry:
+                await self._assign(partition, ABSENT, preferred)
             return
         owner = row.decode(_PartitionRow)
         if owner.incarnation == self._incarnation:
-            self._own(partition, row.version)
-            if wanted.entry != self._entry:
+            self._record_ownership(partition, row.version)
+            if preferred.entry != self._entry:
                 self.drop(partition)
-                await self._write(partition, row.version, wanted)
+                await self._assign(partition, row.version, preferred)
             return
         self.drop(partition)
         is_orphan = owner.incarnation not in {r.incarnation for r in live.values()}
-        if is_orphan and wanted.entry == self._entry:
-            await self._write(partition, row.version, wanted)
+        if is_orphan and preferred.entry == self._entry:
+            await self._assign(partition, row.version, preferred)
 
-    async def _write(self, partition: int, version: int, owner: EntryRecord) -> None:
+    async def _assign(self, partition: int, version: int, owner: EntryRecord) -> None:
         key = partition_key(partition)
         value = _PartitionRow(owner=owner.entry, incarnation=owner.incarnation)
         outcome = await self._table.commit(
             Transaction(puts=[Put.of(key, version, value)])
         )
         if isinstance(outcome, Success) and owner.incarnation == self._incarnation:
-            self._own(partition, outcome.unwrap()[key])
+            self._record_ownership(partition, outcome.unwrap()[key])
 
-    def _own(self, partition: int, epoch: int) -> None:
+    def _record_ownership(self, partition: int, epoch: int) -> None:
         if self.epoch_by_partition.get(partition) != epoch:
             self.epoch_by_partition[partition] = epoch
             log_event("lease:partition", partition=partition, epoch=epoch)
-            self._signal()
+            self._notify_changed()
 
-    def _signal(self) -> None:
+    def _notify_changed(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
--- a/coltsfoottray/leases/worker.py
+++ b/coltsfoottray/leases/worker.py
@@ -1,4 +1,4 @@
-"""A worker's lease: one row for all the tasks on it."""
+"""A worker's lease: one row that covers all the tasks on the worker."""
 
 from __future__ import annotations
 
@@ -35,22 +35,24 @@
 
 
 class LeaseState(enum.Enum):
-    """Whether a worker's tasks are its own."""
+    """Whether a worker's tasks are bound to it, or may be started elsewhere."""
 
     HELD = "held"
     LOST = "lost"
 
 
 class WorkerLeaseRow(msgspec.Struct, frozen=True, kw_only=True):
-    """The row of one worker.
+    """The lease row of one worker.
 
     Parameters
     ----------
     term : int
-        Counts the times the lease was lost. Tasks are bound to the term in
-        which they were started; a later term means that they are anybody's.
+        Incremented whenever the lease was lost or the worker has a new
+        incarnation. Tasks are bound to the term in which they were started;
+        once a later term begins they may be started on any worker.
     boot : str
-        The worker's own life; another one has none of the earlier one's tasks.
+        The incarnation of the worker's VM. A new incarnation has none of the
+        tasks of an earlier one.
     """
 
     worker: AttendantId
@@ -67,11 +69,12 @@
 
 
 class WorkerLease(Service):
-    """Holds the worker's lease, and lets its tasks run only as long.
+    """Holds a worker's lease row, and renews the worker's own lease from it.
 
-    The worker's own lease, which stops its tasks at the lapse even if this
-    process is dead or paused, never outlasts the row's: it is counted from
-    before the renewal was sent, less a margin for the rates of two clocks.
+    The worker's own lease suspends its tasks when it lapses, even if this
+    process is dead or paused. It never outlasts the lease of the row: it is
+    counted from before the row's renewal was sent, less a margin for the
+    different rates of the two clocks.
     """
 
     def __init__(
@@ -89,7 +92,7 @@
         self._clock = clock
         self._incarnation = incarnation
         self._lease = lease
-        self._usable = lease * (1 - CLOCK_RATE_MARGIN)
+        self._usable_duration = lease * (1 - CLOCK_RATE_MARGIN)
         self._row = WorkerLeaseRow(
             worker=worker,
             term=0,
@@ -98,13 +101,13 @@
             state=LeaseState.LOST,
         )
         self._version: int | None = None
-        self._row_until = clock.elapsed()
+        self._row_valid_until = clock.elapsed()
         self._valid_until = clock.elapsed()
-        self._is_taken = True
+        self._is_accepted = True
 
     @property
     def term(self) -> int:
-        """The term now held; 0 before the first."""
+        """The current term; 0 before the first."""
         return self._row.term
 
     @property
@@ -118,8 +121,8 @@
         is_renewed = await self._try_renew()
         task_status.started()
         while True:
-            # After a failure sooner: a renewal that comes back from an outage, or
-            # a moment's silence, late by an interval and a time-out is too late.
+            # Retry sooner after a failure. After an outage or a short silence, a
+            # renewal delayed by an interval and a time-out would come too late.
             await self._clock.sleep(self._lease / (3 if is_renewed else 10))
             is_renewed = await self._try_renew()
 
@@ -134,21 +137,21 @@
         return False
 
     async def _renew(self) -> bool:
-        """Renew the row, then the worker's own lease; return whether both are."""
-        # The worker is asked first: renewed for one that answers nobody, the row
-        # never lapses, and what ran there is held for ever.
+        """Renew the row, then the worker's own lease; return whether both succeeded."""
+        # Ask the worker first. If the row were renewed for a worker that answers
+        # nobody, it would never lapse, and its tasks would never run elsewhere.
         boot = (await self._control.describe()).boot
-        if self._version is None or not self._is_taken:
-            if not await self._read(boot):
+        if self._version is None or not self._is_accepted:
+            if not await self._read_row(boot):
                 return False
         elif boot != self._row.boot:
-            # Renewed for the VM's next life, the term lets an attempt of the life
-            # before be started again there: nothing says that it has run already.
+            # The VM has a new incarnation. In the old term an attempt of the earlier
+            # one could be started again: nothing records that it has already run.
             await self._begin_term(self._row.term + 1, boot)
-        if not self._is_taken:
-            # Written for a worker that takes no renewal, the row never lapses, and
-            # what stands still there is held for ever.
-            await self._hand_over()
+        if not self._is_accepted:
+            # If the row were renewed for a worker that accepts no renewals, it would
+            # never lapse, and the tasks suspended there would never run elsewhere.
+            await self._renew_on_worker()
         assert self._version is not None
         sent_at = self._clock.elapsed()
         renewed = msgspec.structs.replace(self._row, renewals=self._row.renewals + 1)
@@ -160,28 +163,29 @@
             return False
         self._version = outcome.unwrap()[key]
         self._row = renewed
-        self._row_until = sent_at + self._usable
-        self._is_taken = False
-        if self._row_until <= self._clock.elapsed():
+        self._row_valid_until = sent_at + self._usable_duration
+        self._is_accepted = False
+        if self._row_valid_until <= self._clock.elapsed():
             return False
-        await self._hand_over()
+        await self._renew_on_worker()
         return True
 
-    async def _hand_over(self) -> None:
-        """Renew the worker's own lease for what is left of the row's.
+    async def _renew_on_worker(self) -> None:
+        """Renew the worker's own lease for the remaining time of the row's lease.
 
-        With nothing left the worker still shows whether it takes renewals. Only
-        one that has taken it is given tasks: elsewhere they would stand still.
+        With no time remaining, the call still shows whether the worker accepts
+        renewals. Only a worker that has accepted one is given tasks: on any
+        other they would stay suspended.
         """
-        left = max(self._row_until - self._clock.elapsed(), timedelta(0))
+        left = max(self._row_valid_until - self._clock.elapsed(), timedelta(0))
         await self._control.renew(holder=self._incarnation, duration=left)
-        self._is_taken = True
-        self._valid_until = self._row_until
+        self._is_accepted = True
+        self._valid_until = self._row_valid_until
 
-    async def _read(self, boot: str) -> bool:
-        """Find out what the row says; return whether it may be written.
+    async def _read_row(self, boot: str) -> bool:
+        """Read the row; return whether this attendant may write it.
 
-        After a lost answer the row tells whether the renewal took effect.
+        After a lost answer, reading the row shows whether the renewal took effect.
         """
         row = await self._table.get(worker_key(self._row.worker))
         if row is None:
@@ -191,8 +195,8 @@
         found = row.decode(WorkerLeaseRow)
         is_own = found.holder == self._incarnation and found.state is LeaseState.HELD
         if not is_own and self._incarnation < found.holder:
-            # A later life of this attendant holds the row: this one is a
-            # leftover, and must not fight it.
+            # A later incarnation of this attendant holds the row. This process is
+            # outdated and must not compete with it.
             log_event("lease:worker-superseded", holder=found.holder)
             return False
         self._version = row.version
@@ -206,10 +210,10 @@
         return True
 
     async def _begin_term(self, term: int, boot: str) -> None:
-        """Start a term with an empty worker.
+        """Begin a term with an empty worker.
 
-        The earlier term's tasks may already run elsewhere; they are stopped for
-        good before any renewal could let them go on here.
+        Tasks of the earlier term may already run elsewhere. They are stopped
+        permanently before a renewal can let them continue here.
         """
         for running in await self._control.tasks():
             await self._control.stop(task=running.task, attempt=running.attempt)
@@ -219,6 +223,7 @@
         self._row = msgspec.structs.replace(
             self._row, term=term, boot=boot, state=LeaseState.HELD
         )
-        # No row grants the term yet. A task taken in it is held for ever: a restarted
-        # attendant begins it anew, and stops for good what runs there.
-        self._row_until = self._valid_until = self._clock.elapsed()
+        # No row grants the term yet, so no task may be accepted in it. A restarted
+        # attendant would begin the same term again and stop the task permanently,
+        # but the task would stay bound to this worker for ever.
+        self._row_valid_until = self._valid_until = self._clock.elapsed()
