--- a/coltsfoottray/tasks/placer.py
+++ b/coltsfoottray/tasks/placer.py
@@ -1,4 +1,4 @@
-"""Placing one queued task: quota, choice, reservation, commit, start."""
+"""Placement of one queued task: quota, choice, reservation, commit, start."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 __all__ = ["Placer"]
 
 CALL_TIMEOUT = timedelta(seconds=2)
-# Proposals to one task's candidates before it waits for fresher reports.
+# Reservations proposed for one task before it waits for newer reports.
 MAX_PROPOSALS = 3
 
 
@@ -63,7 +63,7 @@
         self._wait_reason_by_task: dict[TaskId, str] = {}
 
     async def place(self, partition: OwnedPartition, stored: StoredTask) -> None:
-        """Try once to get `stored` running; it stays queued if that fails."""
+        """Try once to start `stored`; it stays queued if that fails."""
         spec = stored.row.spec
         refused: list[RunnerUp] = []
         for _ in range(MAX_PROPOSALS):
@@ -81,10 +81,10 @@
                 return
             why = "unreachable" if reply is None else reply.verdict.value
             refused.append(RunnerUp(name=placement.worker, why_not=why))
-        self._wait(spec, "every worker proposed to has refused", refused)
+        self._record_wait(spec, "every worker asked for a reservation refused", refused)
 
     async def start(self, member: Member, row: TaskRow) -> Verdict | None:
-        """Ask the worker to start a committed attempt; None without an answer."""
+        """Ask the worker to start a committed attempt; return None if unanswered."""
         request = StartRequest(
             spec=row.spec,
             attempt=row.attempt,
@@ -108,33 +108,38 @@
         spec = stored.row.spec
         reason = self._quota_reason(partition, spec)
         if reason is not None:
-            self._wait(spec, reason, [])
+            self._record_wait(spec, reason, [])
             return None
         skip = {runner_up.name for runner_up in refused}
         views = [v for v in self._views.candidates() if v.worker not in skip]
         if stored.row.failures:
-            # Not where it failed last, if there is any other.
+            # Avoid the worker on which the last attempt failed, if there is another.
             views = [v for v in views if v.worker != stored.row.worker] or views
         allowed = self._within_share(partition, spec, views)
         placement = self._policy.choose(spec, allowed)
         if placement is None:
-            self._wait(spec, f"no room on any of {len(allowed)} workers", refused)
+            self._record_wait(
+                spec, f"no room on any of {len(allowed)} workers", refused
+            )
         return placement
 
     def _quota_reason(self, partition: OwnedPartition, spec: TaskSpec) -> str | None:
         allowance = self._holder.current.allowance_of(spec.customer)
         if allowance is None:
             return "the customer has no plan"
-        # The task itself is marked busy and so already counted.
+        # The task itself is marked busy, so it is already counted.
         in_use = partition.in_use(spec.customer)
         if not in_use.fits_in(allowance.resources):
-            return f"quota: {in_use} with this task, allowed {allowance.resources}"
+            return (
+                f"quota exceeded: {in_use} with this task, "
+                f"allowed {allowance.resources}"
+            )
         return None
 
     def _within_share(
         self, partition: OwnedPartition, spec: TaskSpec, views: list[WorkerView]
     ) -> list[WorkerView]:
-        """Return the workers the customer's share of VMs leaves open."""
+        """Return the workers that the customer's share of VMs allows."""
         allowance = self._holder.current.allowance_of(spec.customer)
         assert allowance is not None
         used = partition.workers_of(spec.customer)
@@ -170,10 +175,10 @@
         reply: StartReply,
         placement: Placement,
     ) -> None:
-        """Write running(n+1) and only then start it.
+        """Write the row as running attempt n + 1, and only then start it.
 
-        The row comes first: a task that runs is always in the table as running
-        there, whoever dies in between, so nobody starts it a second time.
+        Because the row is written first, the table always shows where a task
+        runs, whichever process dies in between, and no entry starts it twice.
         """
         row = replace(
             stored.row,
@@ -186,16 +191,16 @@
         try:
             outcome = await self._store.update(stored, row, epoch=partition.epoch)
         except TableUnavailable as error:
-            self._wait(row.spec, f"not committed: {error}", [])
+            self._record_wait(row.spec, f"not committed: {error}", [])
             return
         if isinstance(outcome, Failure):
-            await self._read_again(partition, stored)
+            await self._reload(partition, stored)
             return
         self._wait_reason_by_task.pop(row.spec.task, None)
         partition.put(outcome.unwrap())
         partition.started_at_by_task[row.spec.task] = self._clock.elapsed()
         self._views.record_spec(row.spec)
-        self._note(
+        self._record_decision(
             row.spec,
             Verb.PLACE,
             choice=f"{row.worker} attempt {row.attempt}",
@@ -204,21 +209,23 @@
         )
         await self.start(member, row)
 
-    async def _read_again(self, partition: OwnedPartition, stored: StoredTask) -> None:
+    async def _reload(self, partition: OwnedPartition, stored: StoredTask) -> None:
         spec = stored.row.spec
         found = await self._store.find(spec.customer, spec.task)
         if found is not None:
             partition.put(found)
 
-    def _wait(self, spec: TaskSpec, reason: str, runners_up: list[RunnerUp]) -> None:
+    def _record_wait(
+        self, spec: TaskSpec, reason: str, runners_up: list[RunnerUp]
+    ) -> None:
         if self._wait_reason_by_task.get(spec.task) == reason:
             return
         self._wait_reason_by_task[spec.task] = reason
-        self._note(
+        self._record_decision(
             spec, Verb.WAIT, choice="queued", reason=reason, runners_up=runners_up
         )
 
-    def _note(
+    def _record_decision(
         self,
         spec: TaskSpec,
         verb: Verb,
