--- a/coltsfoottray/tasks/supervisor.py
+++ b/coltsfoottray/tasks/supervisor.py
@@ -1,4 +1,4 @@
-"""Following running attempts to their end."""
+"""Supervision of running attempts until they end."""
 
 from __future__ import annotations
 
@@ -32,15 +32,17 @@
 
 __all__ = ["AttemptSupervisor"]
 
-# A start not confirmed by a report for this long is asked for again.
-START_AGAIN_AFTER = timedelta(seconds=3)
+# A start that no report confirms within this time is requested again.
+START_RETRY_INTERVAL = timedelta(seconds=3)
 MAX_FAILURES = 3
 # Verdicts after which this attempt will never start on that worker.
-_HOPELESS = frozenset({Verdict.NO_ROOM, Verdict.STOPPED, Verdict.WORKER_FAILED})
+_PERMANENT_REFUSALS = frozenset(
+    {Verdict.NO_ROOM, Verdict.STOPPED, Verdict.WORKER_FAILED}
+)
 
 
 class AttemptSupervisor:
-    """Decides, for one running attempt, what its newest report means."""
+    """Acts on the newest report about a running attempt."""
 
     def __init__(
         self,
@@ -64,7 +66,7 @@
         self._clock = clock
 
     def needs_action(self, partition: OwnedPartition, stored: StoredTask) -> bool:
-        """Whether `supervise` has something to do now."""
+        """Return whether `supervise` has anything to do now."""
         row = stored.row
         self._views.record_spec(row.spec)
         if row.wants_cancel or self._lost_workers.has_term_ended(row.worker, row.term):
@@ -72,13 +74,13 @@
         member = self._views.find(row.worker)
         if member is None:
             return False
-        report = self._report(member, row)
+        report = self._find_report(member, row)
         if report is not None:
             return report.exit_code is not None
         return self._is_start_overdue(partition, row)
 
     async def supervise(self, partition: OwnedPartition, stored: StoredTask) -> None:
-        """Do the next step for a running attempt."""
+        """Take the next action that a running attempt needs."""
         row = stored.row
         if self._lost_workers.has_term_ended(row.worker, row.term):
             await self._requeue(partition, stored, f"worker {row.worker} was lost")
@@ -86,15 +88,15 @@
         member = self._views.find(row.worker)
         if member is None:
             return
-        report = self._report(member, row)
+        report = self._find_report(member, row)
         if report is not None and report.exit_code is not None:
-            await self._end(partition, stored, member, report.exit_code)
+            await self._handle_end(partition, stored, member, report.exit_code)
         elif row.wants_cancel:
             await self._cancel(partition, stored, member)
         elif report is None and self._is_start_overdue(partition, row):
-            await self._start_again(partition, stored, member)
+            await self._retry_start(partition, stored, member)
 
-    def _report(self, member: Member, row: TaskRow) -> AttemptReport | None:
+    def _find_report(self, member: Member, row: TaskRow) -> AttemptReport | None:
         for report in self._views.report_of(member).attempts:
             if report.task == row.spec.task and report.attempt == row.attempt:
                 return report
@@ -102,19 +104,22 @@
 
     def _is_start_overdue(self, partition: OwnedPartition, row: TaskRow) -> bool:
         now = self._clock.elapsed()
-        asked = partition.started_at_by_task.setdefault(row.spec.task, now)
-        return now - asked > START_AGAIN_AFTER
+        requested_at = partition.started_at_by_task.setdefault(row.spec.task, now)
+        return now - requested_at > START_RETRY_INTERVAL
 
-    async def _start_again(
+    async def _retry_start(
         self, partition: OwnedPartition, stored: StoredTask, member: Member
     ) -> None:
         partition.started_at_by_task[stored.row.spec.task] = self._clock.elapsed()
         verdict = await self._placer.start(member, stored.row)
-        if verdict in _HOPELESS and await self._stop(member, stored.row) is not None:
+        if (
+            verdict in _PERMANENT_REFUSALS
+            and await self._stop(member, stored.row) is not None
+        ):
             assert verdict is not None
             await self._requeue(partition, stored, f"not started: {verdict.value}")
 
-    async def _end(
+    async def _handle_end(
         self,
         partition: OwnedPartition,
         stored: StoredTask,
@@ -134,11 +139,14 @@
         if exit_code == 0:
             state, reason = TaskState.FINISHED, "exit code 0"
         elif failures < MAX_FAILURES:
-            state, reason = TaskState.QUEUED, f"exit code {exit_code}, tried again"
+            state, reason = TaskState.QUEUED, f"exit code {exit_code}, queued again"
         else:
-            state, reason = TaskState.FAILED, f"exit code {exit_code} {failures} times"
+            state, reason = (
+                TaskState.FAILED,
+                f"exit code {exit_code}, failed {failures} times",
+            )
         ended = replace(row, state=state, failures=failures, reason=reason)
-        return await self._move(partition, stored, ended, Verb.FINISH)
+        return await self._update(partition, stored, ended, Verb.FINISH)
 
     async def _cancel(
         self, partition: OwnedPartition, stored: StoredTask, member: Member
@@ -146,16 +154,17 @@
         if await self._stop(member, stored.row) is None:
             return
         row = replace(stored.row, state=TaskState.CANCELLED, reason="cancelled")
-        await self._move(partition, stored, row, Verb.CANCEL)
+        await self._update(partition, stored, row, Verb.CANCEL)
 
     async def _requeue(
         self, partition: OwnedPartition, stored: StoredTask, reason: str
     ) -> None:
-        """Put an attempt that certainly runs no more back into the queue.
+        """Queue the task again after its attempt has certainly stopped.
 
-        Unless it had come to its end, which its attendant has then stored. The
-        next attempt resumes from this one's checkpoint, if there is one, else
-        from that with which this one began.
+        If the attempt had already ended, its attendant has stored the exit code,
+        and that end is written instead. The next attempt resumes from this one's
+        checkpoint if there is one, otherwise from the one this attempt resumed
+        from.
         """
         task, attempt = stored.row.spec.task, stored.row.attempt
         name = checkpoint_name(task, attempt)
@@ -163,8 +172,8 @@
             result = await self._objects.read(result_name(task, attempt))
             has_checkpoint = await self._objects.has(name)
         except CommunicationError as error:
-            # Without an answer an end or a checkpoint could be overlooked, and
-            # its work be done again; the next round asks again.
+            # Without an answer, an end or a checkpoint could be missed and the
+            # work be repeated. The next pass tries again.
             log_event("tasks:not-requeued", task=task, error=str(error))
             return
         if result is not None:
@@ -180,10 +189,10 @@
             evictions=stored.row.evictions + 1,
             reason=reason,
         )
-        await self._move(partition, stored, row, Verb.EVICT)
+        await self._update(partition, stored, row, Verb.EVICT)
 
     async def _stop(self, member: Member, row: TaskRow) -> str | None:
-        """Stop the attempt; return its checkpoint, None without certainty."""
+        """Stop the attempt; return its checkpoint, None if it may still run."""
         request = StopRequest(
             task=row.spec.task,
             attempt=row.attempt,
@@ -210,10 +219,10 @@
                 member.announcement.peers, FORGET, request, timeout=CALL_TIMEOUT
             )
         except CommunicationError as error:
-            # The attendant drops it when it next rebuilds its ledger.
+            # The attendant drops the attempt when it next rebuilds its ledger.
             log_event("tasks:no-forget", task=row.spec.task, error=str(error))
 
-    async def _move(
+    async def _update(
         self, partition: OwnedPartition, stored: StoredTask, row: TaskRow, verb: Verb
     ) -> bool:
         outcome = await self._store.update(stored, row, epoch=partition.epoch)
