--- a/coltsfoottray/tasks/partition.py
+++ b/coltsfoottray/tasks/partition.py
@@ -1,4 +1,4 @@
-"""An owned partition of the queue, in memory."""
+"""The in-memory state of an owned partition of the queue."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 
 
 class OwnedPartition:
-    """The rows of one partition that are not final, by id.
+    """The rows of one partition that are not in a final state, by task id.
 
-    Built from the table when the partition is taken, and from then on changed
-    only together with the table. `epoch` fences every write.
+    Loaded from the table when the partition is acquired, and afterwards changed
+    only together with the table. `epoch` fences every write, and `busy` holds the
+    tasks that are being placed or supervised.
     """
 
     def __init__(self, *, index: int, epoch: int) -> None:
@@ -29,12 +30,12 @@
         self.changed = trio.Event()
 
     def load(self, tasks: Iterable[StoredTask]) -> None:
-        """Take rows as the table has them now."""
+        """Store rows just read from the table."""
         for stored in tasks:
             self.put(stored)
 
     def put(self, stored: StoredTask) -> None:
-        """Keep a row if it is newer than the one held, and not final."""
+        """Store a row unless a newer one is held; a final row removes the task."""
         task = stored.row.spec.task
         held = self.task_by_id.get(task)
         if held is not None and held.version > stored.version:
@@ -46,7 +47,7 @@
             self.task_by_id[task] = stored
 
     def queued(self) -> list[StoredTask]:
-        """Return idle queued tasks: urgent first, then by worth, then by age."""
+        """Return queued tasks not busy: urgent first, then by worth, then by age."""
         return sorted(
             (
                 stored
@@ -62,7 +63,7 @@
         )
 
     def running(self) -> list[StoredTask]:
-        """Return idle running tasks."""
+        """Return running tasks that are not busy."""
         return [
             stored
             for task, stored in self.task_by_id.items()
@@ -70,20 +71,20 @@
         ]
 
     def in_use(self, customer: CustomerId) -> Resources:
-        """Return what a customer's running tasks, and those being placed, use."""
+        """Return the resources that a customer's running and busy tasks use."""
         return Resources.total(
-            [stored.row.spec.demand for stored in self._held_by(customer)]
+            [stored.row.spec.demand for stored in self._tasks_using_resources(customer)]
         )
 
     def workers_of(self, customer: CustomerId) -> set[AttendantId]:
-        """Return the workers a customer's tasks are bound to."""
+        """Return the workers to which a customer's running tasks are bound."""
         return {
             stored.row.worker
-            for stored in self._held_by(customer)
+            for stored in self._tasks_using_resources(customer)
             if stored.row.state is TaskState.RUNNING
         }
 
-    def _held_by(self, customer: CustomerId) -> Sequence[StoredTask]:
+    def _tasks_using_resources(self, customer: CustomerId) -> Sequence[StoredTask]:
         return [
             stored
             for task, stored in self.task_by_id.items()
