--- a/coltsfoottray/tasks/owner.py
+++ b/coltsfoottray/tasks/owner.py
@@ -1,4 +1,4 @@
-"""Owning partitions of the queue: one task for each."""
+"""Ownership of queue partitions, each processed by a trio task of its own."""
 
 from __future__ import annotations
 
@@ -26,24 +26,24 @@
 
 __all__ = ["TASK_CHANGED", "QueueOwner", "TaskChanged", "TaskChangedReply"]
 
-# Pushes make changes known at once; this bounds the delay if one is lost.
+# Notifications make changes known at once; this bounds the delay if one is lost.
 RELOAD_INTERVAL = timedelta(seconds=10)
 _TICK = timedelta(milliseconds=250)
-_WAKE_PAUSE = timedelta(milliseconds=100)
-# Reports lag anyway, and are the same until the next announcement.
-_LEARN_INTERVAL = timedelta(seconds=2)
+_MIN_WAKE_INTERVAL = timedelta(milliseconds=100)
+# Reports are delayed anyway, and do not change until the next announcement.
+_SLOWDOWN_REPORT_INTERVAL = timedelta(seconds=2)
 MAX_CONCURRENT = 64
 
 
 class TaskChanged(msgspec.Struct, frozen=True, kw_only=True):
-    """A row was written by an entry that does not own its partition."""
+    """Notification that an entry has written a row whose partition it does not own."""
 
     customer: CustomerId
     task: TaskId
 
 
 class TaskChangedReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Nothing to tell."""
+    """Empty reply."""
 
 
 TASK_CHANGED = Call(
@@ -52,7 +52,7 @@
 
 
 class QueueOwner(Service):
-    """Moves on the tasks of the partitions this entry owns."""
+    """Places and supervises the tasks of the partitions this entry owns."""
 
     def __init__(
         self,
@@ -83,37 +83,37 @@
         self._wake = trio.Event()
 
     def add_handlers(self, handlers: CallHandlers) -> None:
-        """Answer other entries' calls."""
-        handlers.add(TASK_CHANGED, self.task_changed)
+        """Register the handlers of other entries' calls."""
+        handlers.add(TASK_CHANGED, self.handle_task_changed)
 
     async def run(  # noqa: D102
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._wake_on_announcements)
-            nursery.start_soon(self._learn_slowdowns)
+            nursery.start_soon(self._report_slowdowns)
             task_status.started()
             while True:
-                self._follow_ownership(nursery)
+                self._update_owned_partitions(nursery)
                 await self._ownership.wait_changed()
 
     async def notify_owner(self, customer: CustomerId, task: TaskId) -> None:
-        """Tell the owner of a task that its row has changed.
+        """Notify the owner of a task that its row has changed.
 
-        Who owns a partition is known here only as of the last reading of the
-        table, and may just have changed hands; so every other entry is told,
-        and the one that owns it takes notice.
+        This entry knows a partition's owner only from its last reading of the
+        table, and ownership may have changed since. It therefore notifies every
+        other entry, and only the owner acts on the notification.
         """
         change = TaskChanged(customer=customer, task=task)
         if partition_of(customer) in self._owned_by_index:
-            await self.task_changed(change)
+            await self.handle_task_changed(change)
             return
         async with trio.open_nursery() as nursery:
             for entry, record in self._directory.record_by_id.items():
                 if entry != self._entry:
-                    nursery.start_soon(self._tell, record, change)
+                    nursery.start_soon(self._notify, record, change)
 
-    async def _tell(self, record: EntryRecord, change: TaskChanged) -> None:
+    async def _notify(self, record: EntryRecord, change: TaskChanged) -> None:
         try:
             await self._peers.call(
                 record.peers, TASK_CHANGED, change, timeout=CALL_TIMEOUT
@@ -122,8 +122,8 @@
             # The owner's next reload finds the row.
             log_event("tasks:not-told", entry=record.entry, error=str(error))
 
-    async def task_changed(self, change: TaskChanged) -> TaskChangedReply:
-        """Answer `TASK_CHANGED`: read the row again."""
+    async def handle_task_changed(self, change: TaskChanged) -> TaskChangedReply:
+        """Handle `TASK_CHANGED`: read the row again."""
         owned = self._owned_by_index.get(partition_of(change.customer))
         if owned is None:
             return TaskChangedReply()
@@ -139,7 +139,7 @@
             self._signal()
         return TaskChangedReply()
 
-    def _follow_ownership(self, nursery: trio.Nursery) -> None:
+    def _update_owned_partitions(self, nursery: trio.Nursery) -> None:
         epochs = self._ownership.epoch_by_partition
         for index, owned in list(self._owned_by_index.items()):
             if epochs.get(index) != owned.epoch:
@@ -164,21 +164,21 @@
                     if loaded_at is None or now - loaded_at > RELOAD_INTERVAL:
                         owned.load(await self._store.load(owned.index))
                         loaded_at = now
-                    await self._move_on(owned)
+                    await self._process_tasks(owned)
                 except TableUnavailable as error:
                     log_event("tasks:table-down", error=str(error))
-                await self._wait_for_news(owned)
+                await self._wait_for_changes(owned)
 
-    async def _move_on(self, owned: OwnedPartition) -> None:
+    async def _process_tasks(self, owned: OwnedPartition) -> None:
         limit = trio.CapacityLimiter(MAX_CONCURRENT)
         async with trio.open_nursery() as nursery:
             for stored in owned.running():
                 if self._supervisor.needs_action(owned, stored):
-                    nursery.start_soon(self._step, owned, stored, limit)
+                    nursery.start_soon(self._process_task, owned, stored, limit)
             for stored in owned.queued():
-                nursery.start_soon(self._step, owned, stored, limit)
+                nursery.start_soon(self._process_task, owned, stored, limit)
 
-    async def _step(
+    async def _process_task(
         self, owned: OwnedPartition, stored: StoredTask, limit: trio.CapacityLimiter
     ) -> None:
         task = stored.row.spec.task
@@ -194,8 +194,11 @@
             finally:
                 owned.busy.discard(task)
 
-    async def _wait_for_news(self, owned: OwnedPartition) -> None:
-        """Wait; an empty partition sleeps until one of its rows changes."""
+    async def _wait_for_changes(self, owned: OwnedPartition) -> None:
+        """Wait for the next pass.
+
+        An empty partition waits until one of its rows changes or a reload is due.
+        """
         if owned.task_by_id:
             with trio.move_on_after(_TICK.total_seconds()):
                 await self._wake.wait()
@@ -205,19 +208,19 @@
             owned.changed = trio.Event()
 
     async def _wake_on_announcements(self) -> None:
-        """Look again after announcements, but not after each single one.
+        """Start a pass after announcements, but not after every single one.
 
-        Looking takes time in proportion to the tasks that run; with hundreds
-        of workers announcements come many times within one pause.
+        A pass takes time in proportion to the number of running tasks, and with
+        hundreds of workers many announcements arrive within one interval.
         """
         while True:
             await self._registry.wait_changed()
             self._signal()
-            await self._clock.sleep(_WAKE_PAUSE)
+            await self._clock.sleep(_MIN_WAKE_INTERVAL)
 
-    async def _learn_slowdowns(self) -> None:
+    async def _report_slowdowns(self) -> None:
         while True:
-            await self._clock.sleep(_LEARN_INTERVAL)
+            await self._clock.sleep(_SLOWDOWN_REPORT_INTERVAL)
             self._views.report_slowdowns()
 
     def _signal(self) -> None:
