--- a/coltsfoottray/tasks/supervisor.py
+++ b/coltsfoottray/tasks/supervisor.py
@@ -127,7 +127,7 @@
         exit_code: int,
     ) -> None:
         row = stored.row
-        self._views.record_end(row.worker, row.spec.task, is_good=exit_code == 0)
+        self._views.record_end(row.worker, row.spec.task, has_succeeded=exit_code == 0)
         if await self._write_end(partition, stored, exit_code):
             await self._forget(member, row)
 
--- a/coltsfoottray/tasks/workers.py
+++ b/coltsfoottray/tasks/workers.py
@@ -1,4 +1,4 @@
-"""The workers an owner may place on, corrected by its own proposals."""
+"""An owner's view of the workers, updated by the replies to its own proposals."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 __all__ = ["WorkerViews"]
 
 SUSPECT_FAILURES = 3
-SUSPECT_PAUSE = timedelta(minutes=5)
+SUSPECT_DURATION = timedelta(minutes=5)
 
 
 @dataclass(kw_only=True)
-class _Learned:
-    """What replies to our own proposals said, newer than the announcement."""
+class _ReplyReport:
+    """A report in a reply to a proposal, newer than the announced report."""
 
     incarnation: Incarnation
     report: WorkerReport
-    basis: WorkerReport
+    announced: WorkerReport
 
 
 class WorkerViews:
-    """Joins announcements with the reports that come back on proposals."""
+    """Combines the workers' announced reports with those in replies to proposals."""
 
     def __init__(
         self, *, registry: Registry, policy: PlacementPolicy, clock: Clock
@@ -39,72 +39,77 @@
         self._suspect_until_by_worker: dict[AttendantId, timedelta] = {}
         self._registry = registry
         self._policy = policy
-        self._learned_by_worker: dict[AttendantId, _Learned] = {}
+        self._reply_report_by_worker: dict[AttendantId, _ReplyReport] = {}
         self._spec_by_task: dict[TaskId, TaskSpec] = {}
 
     def find(self, worker: AttendantId) -> Member | None:
-        """Return the worker's attendant if it is present."""
+        """Return the worker's attendant, None if it is not registered."""
         return self._registry.find(worker)
 
     def record_spec(self, spec: TaskSpec) -> None:
-        """Remember a task's kind, by which pairs on a worker are known."""
+        """Record a running task's spec, whose kind identifies pairs on a worker."""
         self._spec_by_task[spec.task] = spec
 
     def forget_spec(self, task: TaskId) -> None:
-        """Forget a task that runs no more."""
+        """Remove the spec of a task that no longer runs."""
         self._spec_by_task.pop(task, None)
 
     @property
     def known_task_count(self) -> int:
-        """How many running tasks are remembered."""
+        """The number of running tasks whose specs are recorded."""
         return len(self._spec_by_task)
 
-    def record_end(self, worker: AttendantId, task: TaskId, *, is_good: bool) -> None:
-        """Take in how an attempt on `worker` ended.
+    def record_end(
+        self, worker: AttendantId, task: TaskId, *, has_succeeded: bool
+    ) -> None:
+        """Record how an attempt on `worker` ended.
 
-        Some workers fail everything they start, and being always free they
-        draw more than others. After `SUSPECT_FAILURES` different tasks have
-        failed there in a row, the worker is passed over for a while; a task
-        that fails everywhere does not make a worker suspect by itself.
+        Some workers fail everything they start. As they are always free, they
+        receive more tasks than others. After `SUSPECT_FAILURES` different tasks
+        have failed on a worker in a row, it receives no tasks for
+        `SUSPECT_DURATION`. A task that fails everywhere does not make a worker
+        suspect by itself.
         """
         failed = self._failed_tasks_by_worker[worker]
-        if is_good:
+        if has_succeeded:
             failed.clear()
             return
         failed.add(task)
         if len(failed) >= SUSPECT_FAILURES:
             self._suspect_until_by_worker[worker] = (
-                self._clock.elapsed() + SUSPECT_PAUSE
+                self._clock.elapsed() + SUSPECT_DURATION
             )
             log_event("placement:suspect", worker=worker, failed=sorted(failed))
             failed.clear()
 
     def record_report(self, member: Member, report: WorkerReport) -> None:
-        """Take the report that came back on a proposal."""
+        """Record the report in a reply to a proposal."""
         announcement = member.announcement
         assert announcement.worker is not None
         worker = AttendantId(announcement.daemon)
-        self._learned_by_worker[worker] = _Learned(
+        self._reply_report_by_worker[worker] = _ReplyReport(
             incarnation=announcement.incarnation,
             report=report,
-            basis=announcement.worker,
+            announced=announcement.worker,
         )
 
     def report_of(self, member: Member) -> WorkerReport:
-        """Return the newest report of a worker."""
+        """Return the newest report of a worker, announced or from a reply."""
         announcement = member.announcement
         assert announcement.worker is not None
-        learned = self._learned_by_worker.get(AttendantId(announcement.daemon))
+        reply_report = self._reply_report_by_worker.get(
+            AttendantId(announcement.daemon)
+        )
         if (
-            learned is not None
-            and learned.incarnation == announcement.incarnation
-            and learned.basis is announcement.worker
+            reply_report is not None
+            and reply_report.incarnation == announcement.incarnation
+            and reply_report.announced is announcement.worker
         ):
-            return learned.report
+            return reply_report.report
         return announcement.worker
 
     def candidates(self) -> list[WorkerView]:
-        """Return the workers that take new tasks."""
+        """Return the workers that accept new tasks."""
         members = [
             member
             for member in self._registry.members(Role.WORKER)
@@ -119,19 +124,19 @@
         return [self._as_view(member, tasks_by_rack) for member in members]
 
     def report_slowdowns(self) -> None:
-        """Hand the late reports of slowdown to the policy."""
+        """Pass the slowdowns in the workers' newest reports to the policy."""
         for member in self._registry.members(Role.WORKER):
             attempts = self.report_of(member).attempts
             kind_by_task = {a.task: self._kind_of(a.task) for a in attempts}
             for attempt in attempts:
                 kind = kind_by_task[attempt.task]
-                beside = [
+                colocated = [
                     other
                     for task, other in kind_by_task.items()
                     if task != attempt.task and other is not None
                 ]
-                if kind is not None and attempt.exit_code is None and beside:
-                    self._policy.record_slowdown(kind, beside, attempt.slowdown)
+                if kind is not None and attempt.exit_code is None and colocated:
+                    self._policy.record_slowdown(kind, colocated, attempt.slowdown)
 
     def _is_suspect(self, worker: AttendantId) -> bool:
         until = self._suspect_until_by_worker.get(worker)
