--- a/coltsfoottray/tasks/__init__.py
+++ b/coltsfoottray/tasks/__init__.py
@@ -1,4 +1,4 @@
-"""Batch tasks: their rows in the table and the one owner that moves them on."""
+"""Batch tasks: their rows in the table, and the one owner that runs each of them."""
 
 from __future__ import annotations
 
--- a/coltsfoottray/tasks/rows.py
+++ b/coltsfoottray/tasks/rows.py
@@ -1,4 +1,4 @@
-"""A batch task as the table holds it."""
+"""Batch tasks as stored in the table, and the names of their rows and objects."""
 
 from __future__ import annotations
 
@@ -29,16 +29,16 @@
 
 
 class TaskSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """What a customer asked for.
+    """A customer's specification of a task.
 
     Parameters
     ----------
     task : TaskId
         The customer's name, a slash, and the customer's own id of the task.
     runtime_s : float
-        The declared run time, in seconds; often far from the real one.
+        The declared run time in seconds; often far from the real one.
     payload : dict
-        Handed to the worker as it came.
+        Passed to the worker unchanged.
     """
 
     task: TaskId
@@ -52,21 +52,23 @@
 
 
 class TaskRow(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a task stands.
+    """The state of a task.
 
     Parameters
     ----------
     attempt : int
-        Fences: a worker's message about any other attempt counts for nothing.
+        The number of the latest attempt. It fences: a worker's message about
+        any other attempt is ignored.
     worker, term
-        Where the attempt is bound, and in which term of that worker's lease.
+        The worker that the attempt is bound to, and the term of its lease.
     checkpoint : str
-        The object from which the next attempt resumes.
+        The name of the object from which the next attempt resumes.
     wants_cancel : bool
-        Set by the customer's cancellation while the task runs; the owner then
+        Set when the customer cancels the task while it runs; the owner then
         stops it.
     reason : str
-        The last decision, so that it is explained also by a later owner.
+        The reason for the last decision, stored so that a later owner can
+        explain it too.
     """
 
     spec: TaskSpec
@@ -84,14 +86,14 @@
 
 @dataclass(kw_only=True)
 class StoredTask:
-    """A row and the version that the next write is conditional on."""
+    """A task's row and the version on which the next write is conditional."""
 
     row: TaskRow
     version: int
 
 
 def partition_prefix(partition: int) -> str:
-    """Return what the keys of a partition's tasks begin with."""
+    """Return the prefix of the keys of a partition's tasks."""
     return f"task/{partition:02d}/"
 
 
--- a/coltsfoottray/tasks/store.py
+++ b/coltsfoottray/tasks/store.py
@@ -1,4 +1,4 @@
-"""Reading and writing task rows."""
+"""Reads and writes of task rows."""
 
 from __future__ import annotations
 
@@ -28,20 +28,20 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AcceptConflict:
-    """The id was accepted before, for something else."""
+    """The task's id was accepted before with a different spec."""
 
     earlier: TaskSpec
 
 
 @dataclass(frozen=True, kw_only=True)
 class Fenced:
-    """The write was refused: the row or the partition has moved on."""
+    """The write was refused: the row or the partition's epoch has changed."""
 
     keys: list[str]
 
 
 class TaskStore:
-    """The table's task rows."""
+    """Reads and writes the task rows in the table."""
 
     def __init__(self, *, table: TableService, clock: Clock) -> None:
         self._table = table
@@ -72,7 +72,7 @@
         return Failure(AcceptConflict(earlier=earlier.spec))
 
     async def find(self, customer: CustomerId, task: TaskId) -> StoredTask | None:
-        """Return the task's row."""
+        """Return the task's row, None if there is none."""
         key = f"{partition_prefix(partition_of(customer))}{task}"
         row = await self._table.get(key)
         return None if row is None else _as_stored(row)
@@ -80,13 +80,13 @@
     async def cancel(self, stored: StoredTask) -> bool:
         """Cancel a queued task, or ask the owner to stop a running one.
 
-        Any entry may do this. The owner's next write then meets a version that
-        has moved on, and it reads the row again.
+        Any entry may do this. The owner's next write then fails because the
+        version has changed, and the owner reads the row again.
 
         Returns
         -------
         bool
-            False if the row moved on in the meantime; read it and try again.
+            False if the row has changed in the meantime; read it and try again.
         """
         if stored.row.state is TaskState.QUEUED:
             row = replace(stored.row, state=TaskState.CANCELLED, reason="cancelled")
@@ -105,7 +105,7 @@
     async def update(
         self, stored: StoredTask, row: TaskRow, *, epoch: int
     ) -> Result[StoredTask, Fenced]:
-        """Replace `stored` by `row`, as the owner of its partition at `epoch`."""
+        """Replace `stored` with `row`, as the owner of its partition at `epoch`."""
         key = task_key(row.spec)
         fence = Check(key=partition_key(partition_of(row.spec.customer)), version=epoch)
         transaction = Transaction(
