--- a/coltsfoottray/placement/__init__.py
+++ b/coltsfoottray/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Choosing a worker for a task."""
+"""Policies that choose a worker for a batch task."""
 
 from __future__ import annotations
 
--- a/coltsfoottray/placement/common.py
+++ b/coltsfoottray/placement/common.py
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WorkerView:
-    """A worker as an owner sees it: a late report, and its own proposals.
+    """A worker as an owner knows it from a delayed report and its own proposals.
 
     Parameters
     ----------
     kinds : list of Kind
-        The kinds of the tasks that run there.
+        The kinds of the tasks that run on the worker.
     tasks_in_rack : int
-        How many tasks run in the worker's rack.
+        The number of tasks that run in the worker's rack.
     """
 
     worker: AttendantId
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Placement:
-    """A policy's choice and the workers it passed over."""
+    """The worker that a policy chose, and the runners-up."""
 
     worker: AttendantId
     reason: str
@@ -49,30 +49,37 @@
 
 
 class PlacementPolicy(abc.ABC):
-    """A placement policy."""
+    """Base class of placement policies."""
 
     @abc.abstractmethod
     def choose(
         self, spec: TaskSpec, candidates: Sequence[WorkerView]
     ) -> Placement | None:
-        """Return a worker that has room for `spec`, None if there is none."""
+        """Return a placement of `spec` on a worker with room, None if there is none."""
 
-    def record_slowdown(  # noqa: B027  a policy may do without
-        self, kind: Kind, beside: Sequence[Kind], slowdown: float
+    def record_slowdown(  # noqa: B027  optional for a policy
+        self, kind: Kind, colocated: Sequence[Kind], slowdown: float
     ) -> None:
-        """Learn from a late report how `kind` fared beside other kinds."""
+        """Record how much a task of `kind` is slowed down by colocated kinds.
+
+        Parameters
+        ----------
+        slowdown : float
+            The factor by which the run time grows, from a delayed report; 1
+            means no slowdown.
+        """
 
 
 _policy_by_name: dict[str, Callable[[], PlacementPolicy]] = {}
 
 
 def register_policy(name: str, factory: Callable[[], PlacementPolicy]) -> None:
-    """Make a policy known to the settings as `name`."""
+    """Register a policy under the `name` that the settings use for it."""
     _policy_by_name[name] = factory
 
 
 def make_policy(name: str) -> PlacementPolicy:
-    """Return a new policy of the registered `name`."""
+    """Return a new policy registered as `name`."""
     factory = _policy_by_name.get(name)
     if factory is None:
         raise InputError(
--- a/coltsfoottray/placement/first_fit.py
+++ b/coltsfoottray/placement/first_fit.py
@@ -1,4 +1,4 @@
-"""The baseline: the first worker with room."""
+"""The baseline policy: the first worker with room."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FirstFit(PlacementPolicy):
-    """Takes the workers in the order of their ids."""
+    """Chooses the first candidate with room, in the order given (that of ids)."""
 
     def choose(  # noqa: D102
         self, spec: TaskSpec, candidates: Sequence[WorkerView]
--- a/coltsfoottray/placement/tightest_fit.py
+++ b/coltsfoottray/placement/tightest_fit.py
@@ -1,4 +1,4 @@
-"""Tightest fit, spread over racks, away from pairs that slow each other down."""
+"""Tightest fit, spread over racks, avoiding pairs that slow each other down."""
 
 from __future__ import annotations
 
@@ -16,19 +16,20 @@
 
 __all__ = ["TightestFit"]
 
-# How much a slowdown of 1 (twice the time) counts against a whole free worker.
+# The cost of an excess slowdown of 1 (twice the run time); a fully free worker costs 1.
 SLOWDOWN_WEIGHT = 4.0
-# How much one more task in the rack counts against a whole free worker.
+# The cost of each other task in the rack, on the same scale.
 RACK_WEIGHT = 0.02
-_AVERAGE_WEIGHT = 0.2
+_SMOOTHING_FACTOR = 0.2
 _MAX_RUNNERS_UP = 3
 
 
 class TightestFit(PlacementPolicy):
-    """Takes the worker with the lowest cost.
+    """Chooses the worker with the lowest cost.
 
-    The cost is the part of the worker left free, plus the expected slowdown of
-    the pairs the task would form, plus a little for each task in the rack.
+    The cost is the share of the worker that stays free, plus the weighted
+    slowdown expected of the pairs that the task would form, plus a small cost
+    for each task in the rack.
     """
 
     def __init__(self) -> None:
@@ -52,29 +53,36 @@
         )
 
     def record_slowdown(  # noqa: D102
-        self, kind: Kind, beside: Sequence[Kind], slowdown: float
+        self, kind: Kind, colocated: Sequence[Kind], slowdown: float
     ) -> None:
         excess = max(0.0, slowdown - 1.0)
-        for other in set(beside):
+        for other in set(colocated):
             pair = frozenset((kind, other))
-            before = self._slowdown_by_pair.get(pair, 0.0)
-            self._slowdown_by_pair[pair] = before + _AVERAGE_WEIGHT * (excess - before)
+            previous = self._slowdown_by_pair.get(pair, 0.0)
+            self._slowdown_by_pair[pair] = previous + _SMOOTHING_FACTOR * (
+                excess - previous
+            )
 
     def _cost(self, spec: TaskSpec, view: WorkerView) -> float:
-        left = _free_part(view.free - spec.demand, view.capacity)
+        free_share = _mean_free_share(view.free - spec.demand, view.capacity)
         slowdown = sum(
             self._slowdown_by_pair.get(frozenset((spec.kind, other)), 0.0)
             for other in view.kinds
         )
-        return left + SLOWDOWN_WEIGHT * slowdown + RACK_WEIGHT * view.tasks_in_rack
+        return (
+            free_share + SLOWDOWN_WEIGHT * slowdown + RACK_WEIGHT * view.tasks_in_rack
+        )
 
 
-def _free_part(free: Resources, capacity: Resources) -> float:
-    """Return the mean free part over the dimensions the worker has."""
-    parts = [free.processors / capacity.processors, free.memory_gb / capacity.memory_gb]
+def _mean_free_share(free: Resources, capacity: Resources) -> float:
+    """Return the mean free share of the resources that the worker has."""
+    shares = [
+        free.processors / capacity.processors,
+        free.memory_gb / capacity.memory_gb,
+    ]
     if capacity.accelerators:
-        parts.append(free.accelerators / capacity.accelerators)
-    return sum(parts) / len(parts)
+        shares.append(free.accelerators / capacity.accelerators)
+    return sum(shares) / len(shares)
 
 
 register_policy("tightest-fit", TightestFit)
