--- a/coltsfoottray/lists/__init__.py
+++ b/coltsfoottray/lists/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' two lists: plans bought, and what each plan may use."""
+"""The operators' two lists: the customers' plans, and each plan's allowance."""
 
 from __future__ import annotations
 
--- a/coltsfoottray/lists/editor.py
+++ b/coltsfoottray/lists/editor.py
@@ -1,4 +1,4 @@
-"""Accepting edits: commit at the next version, exactly once."""
+"""Acceptance of edits: each is committed exactly once, at the next version."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EditConflict:
-    """The lists moved on since the operator read them."""
+    """The lists have changed since the operator read them."""
 
     winner: EditRecord
 
@@ -31,12 +31,12 @@
         return (
             f"{edit.author} changed {edit.list.value} at {self.winner.accepted_at}, "
             f"which is version {lists.version}: {edit.change}; "
-            "read that version and edit again"
+            "read that version and make the edit again"
         )
 
 
 async def read_head(table: TableService) -> Lists:
-    """Return the newest accepted lists, version 0 where there are none."""
+    """Return the newest accepted lists, with version 0 if there are none."""
     row = await table.get(HEAD_KEY)
     return Lists() if row is None else row.decode(Lists)
 
@@ -44,9 +44,9 @@
 class ListEditor:
     """Commits operators' edits to the table.
 
-    The head row and a history row are written in one transaction on the
-    condition of the head's version, so of two racing edits exactly one wins.
-    The lists' version is the head row's.
+    The head row and a history row are written in one transaction, conditional
+    on the head's version, so exactly one of two racing edits succeeds. The
+    version of the lists is that of the head row.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self._holder = holder
 
     async def commit(self, edit: Edit) -> Result[Lists, EditConflict]:
-        """Accept `edit`, or say who won the race.
+        """Accept `edit`, or return a conflict if the lists have changed.
 
         Raises
         ------
@@ -65,12 +65,12 @@
             If the edit is malformed; nothing is written.
         TableUnavailable
             If the table gives no answer. With `is_unwritten` the edit was not
-            accepted. Otherwise the operator sends the same edit, with the same
-            token, again and learns which.
+            accepted. Otherwise the outcome is unknown; the operator learns it
+            by sending the same edit with the same token again.
         """
-        already = await self._find_accepted(edit)
-        if already is not None:
-            return Success(already)
+        accepted = await self._find_accepted(edit)
+        if accepted is not None:
+            return Success(accepted)
         head = await read_head(self._table)
         if head.version != edit.based_on:
             return Failure(await self._conflict(head.version))
@@ -96,9 +96,9 @@
         try:
             outcome = await self._table.commit(transaction)
         except TableUnavailable as error:
-            # The answer can be lost after the write took effect. Reading back
-            # by the edit's own token tells a success from a failure, and never
-            # applies the edit twice.
+            # The answer can be lost after the write took effect. Comparing the
+            # token of the row at that version tells success from failure, and
+            # never applies the edit twice.
             if not error.is_unwritten:
                 accepted = await self._find_accepted(edit)
                 if accepted is not None:
@@ -110,10 +110,10 @@
         return Success(lists)
 
     async def _find_accepted(self, edit: Edit) -> Lists | None:
-        """Return what `edit` led to if it was accepted before.
+        """Return the lists after `edit` if it was accepted before.
 
-        An edit is written just after the version it was based on or not at
-        all, so one row decides.
+        An edit is written at the version after the one it was based on or not
+        at all, so the history row of that version decides.
         """
         row = await self._table.get(_history_key(ListVersion(edit.based_on + 1)))
         if row is None:
@@ -128,7 +128,7 @@
         row = await self._table.get(_history_key(version))
         if row is None:
             raise TableUnavailable(
-                detail=f"no history for version {version}", is_unwritten=True
+                detail=f"no history row for version {version}", is_unwritten=True
             )
         return EditConflict(winner=row.decode(EditRecord))
 
--- a/coltsfoottray/lists/follower.py
+++ b/coltsfoottray/lists/follower.py
@@ -1,4 +1,4 @@
-"""Keeping an entry's lists up with the table."""
+"""Polling of the table for newer lists."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 class ListFollower(Service):
     """Polls the table for newer lists.
 
-    Pushes between peers are faster; the poll is what bounds the delay when a
-    push is lost, and what finds an edit whose accepting entry died at once.
+    Pushes between peers are faster. The poll bounds the delay if a push is lost,
+    and finds an edit whose accepting entry died before it could push.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
             await self.poll()
 
     async def poll(self) -> None:
-        """Read the head once; an outage leaves the lists in force as they are."""
+        """Read the head once; in an outage of the table the lists stay as they are."""
         try:
             lists = await read_head(self._table)
         except TableUnavailable as error:
--- a/coltsfoottray/lists/holder.py
+++ b/coltsfoottray/lists/holder.py
@@ -11,7 +11,7 @@
 
 
 class ListHolder:
-    """Holds the newest lists this process has seen, and moves only forward."""
+    """Holds the newest lists that this process has received."""
 
     def __init__(self) -> None:
         self.current = Lists()
@@ -20,9 +20,9 @@
     def replace_if_newer(self, lists: Lists) -> bool:
         """Put `lists` in force if they are newer; return whether they were.
 
-        Late and repeated pushes arrive in any order. An older version is
-        dropped here, the one place that writes `current`, so that no accepted
-        edit ever reverts.
+        Late and repeated pushes arrive in any order. Only this method writes
+        `current`, and it ignores older versions, so an accepted edit is never
+        reverted.
         """
         if lists.version <= self.current.version:
             return False
@@ -32,7 +32,7 @@
         return True
 
     async def wait_newer(self, version: ListVersion) -> Lists:
-        """Return the lists in force once they are newer than `version`."""
+        """Wait until the lists in force are newer than `version` and return them."""
         while self.current.version <= version:
             await self._changed.wait()
         return self.current
--- a/coltsfoottray/lists/models.py
+++ b/coltsfoottray/lists/models.py
@@ -1,4 +1,4 @@
-"""The two lists as one versioned value, and edits to them."""
+"""The operators' two lists as one versioned value, and edits to them."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 
 
 class ListName(enum.Enum):
-    """The lists operators edit."""
+    """The lists that operators edit."""
 
     PLANS = "plans"
     ALLOWANCES = "allowances"
 
 
 class Allowance(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What one plan may use at any moment, for each customer that bought it.
+    """What each customer with a plan may use at any moment.
 
     Parameters
     ----------
     processors, memory_gb, accelerators
         Bounds on the sum over the customer's running tasks.
     vm_share : float
-        The part, above 0 up to 1, of each upstream VM's slots that the
-        customer's requests may hold, and of the workers its tasks may be on.
+        The share, above 0 and at most 1, of each upstream VM's slots that the
+        customer's requests may hold, and of the workers its tasks may run on.
     """
 
     processors: float
@@ -50,7 +50,9 @@
             if value < 0:
                 raise ValueError(f"{name}: got {value}, expected 0 or more")
         if not 0 < self.vm_share <= 1:
-            raise ValueError(f"vm_share: got {self.vm_share}, expected above 0 up to 1")
+            raise ValueError(
+                f"vm_share: got {self.vm_share}, expected above 0 and at most 1"
+            )
 
     @property
     def resources(self) -> Resources:
@@ -63,19 +65,19 @@
 
 
 class Lists(msgspec.Struct, frozen=True, kw_only=True):
-    """Both lists at one version; version 0 is that of nothing accepted yet."""
+    """Both lists at one version; at version 0 no edit has been accepted yet."""
 
     version: ListVersion = NO_LISTS
     plan_by_customer: dict[CustomerId, PlanId] = msgspec.field(default_factory=dict)
     allowance_by_plan: dict[PlanId, Allowance] = msgspec.field(default_factory=dict)
 
     def allowance_of(self, customer: CustomerId) -> Allowance | None:
-        """Return what `customer` may use, None without a plan."""
+        """Return the allowance of `customer`, None if it has no plan."""
         plan = self.plan_by_customer.get(customer)
         return None if plan is None else self.allowance_by_plan.get(plan)
 
     def line_of(self, customer: CustomerId) -> str:
-        """Return the lists' lines about `customer`, as a decision cites them."""
+        """Return the lists' lines about `customer`, as decisions cite them."""
         plan = self.plan_by_customer.get(customer)
         if plan is None:
             return f"plans@{self.version}: no line for {customer}"
@@ -97,14 +99,14 @@
     list : ListName
         The list to change.
     change : dict
-        New lines by customer (a plan) or by plan (an allowance's fields, those
-        left out staying as they are); None removes the line.
+        New lines by customer (a plan) or by plan (fields of an allowance;
+        omitted fields keep their values). None removes a line.
     based_on : ListVersion
         The version the operator read.
     author : str
-        Who edits.
+        The operator who makes the edit.
     token : str
-        Made anew for each edit, and kept the same when it is sent again: an
+        Unique to the edit, and unchanged when it is sent again, so that the
         edit is applied once however often it arrives.
     """
 
@@ -116,7 +118,7 @@
 
 
 class EditRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """One accepted edit and the lists as they stood after it."""
+    """One accepted edit and the lists after it."""
 
     edit: Edit
     accepted_at: str
@@ -124,7 +126,7 @@
 
 
 def apply_change(lists: Lists, edit: Edit, *, version: ListVersion) -> Lists:
-    """Return `lists` after `edit`, as `version`.
+    """Return `lists` with `edit` applied, at `version`.
 
     Raises
     ------
