--- a/tests/steps/task_steps.py
+++ b/tests/steps/task_steps.py
@@ -1,4 +1,4 @@
-"""Steps on batch tasks in a world in memory."""
+"""Steps for batch tasks in a simulated deployment in memory."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 @given("{worker} fails everything it starts")
-def make_bad_worker(context, worker):
+def make_failing_worker(context, worker):
     context.world.cell.worker_stand_in_by_name[worker].fails_everything = True
 
 
@@ -62,16 +62,16 @@
     assert status == 202, status
 
 
-@when('"{customer}" submits the task "{task}" until it is told the outcome')
+@when('"{customer}" submits the task "{task}" until the outcome is certain')
 def submit_until_certain(context, customer, task):
     for _ in range(20):
         if context.world.submit("entry-1", task, customer) == 202:
             return
-    raise AssertionError("never accepted")
+    raise AssertionError(f"{task} was not accepted in 20 attempts")
 
 
 @when('"{customer}" submits the task "{task}" of {processors:d} processors')
-def submit_huge(context, customer, task, processors):
+def submit_of_size(context, customer, task, processors):
     context.status = context.world.submit(
         "entry-1", task, customer, processors=processors
     )
@@ -101,7 +101,7 @@
     context.world.lose_worker(context.world.rows()[task].worker)
 
 
-@when("the attendant of {worker} is killed and started anew")
+@when("the attendant of {worker} is killed and restarted")
 def restart_attendant(context, worker):
     context.world.kill(worker)
     context.world.run(context.world.cell.start_attendant, worker)
@@ -138,8 +138,8 @@
     context.world.fabric.faults(context.paused).pause()
 
 
-@when("the paused entry wakes")
-def wake_owner(context):
+@when("the paused entry resumes")
+def resume_owner(context):
     context.world.resume(context.paused)
 
 
@@ -186,7 +186,10 @@
     assert len(starts) == count, starts
 
 
-@then('"{task}" was started {count:d} times, the last from {seconds:d} s on or later')
+@then(
+    '"{task}" was started {count:d} times, the last with at least {seconds:d} s '
+    "of work done"
+)
 def check_resumed(context, task, count, seconds):
     starts = _starts(context.world, task)
     assert len(starts) == count, starts
@@ -227,14 +230,14 @@
 
 
 @when('the worker that runs "{task}" is cut off from the entries')
-def cut_from_entries(context, task):
+def cut_off_from_entries(context, task):
     worker = context.world.rows()[task].worker
     for entry in context.world.cell.entry_by_name:
         context.world.fabric.cut.add(frozenset((entry, worker)))
 
 
-@then("no entry remembers any task")
-def check_forgotten(context):
+@then("no entry holds the spec of any task")
+def check_no_specs(context):
     context.world.advance(1)
     for name, entry in context.world.cell.entry_by_name.items():
         assert entry.views.known_task_count == 0, (name, entry.views.known_task_count)
--- a/tests/tasks/fuzz.feature
+++ b/tests/tasks/fuzz.feature
@@ -9,5 +9,5 @@
     Then with the planted fault "ledger without bounds" the machine "batch tasks" fails
 
   Scenario: The oracle sees a task that is started twice
-    # Planted: an owner that reads the rows takes running tasks for queued ones.
+    # Planted: an owner that loads the rows treats running tasks as queued.
     Then with the planted fault "moves without attempts" the machine "batch tasks" fails
--- a/tests/tasks/lost.feature
+++ b/tests/tasks/lost.feature
@@ -1,6 +1,6 @@
-Feature: A worker that is gone, and what its attendant may still tell of it
+Feature: A worker is lost, and its attendant may still report on it
 
-  Scenario: A worker's VM is lost, and its attendant lives on
+  Scenario: A worker's VM is lost, and its attendant keeps running
     # Guards against a lease row renewed for a worker that answers nobody.
     Given two entries and 2 workers in memory
     When "arolwg" submits the task "b1" which runs for 10 s
@@ -10,7 +10,7 @@
     Then no worker was ever overcommitted, and nothing ran twice
 
   Scenario: A worker's VM and its attendant are lost together
-    # The control to the one above: nobody is left to renew the row.
+    # Control for the scenario above: no attendant is left to renew the row.
     Given two entries and 2 workers in memory
     When "arolwg" submits the task "b1" which runs for 10 s
     And the task "b1" runs for 2000 ms
@@ -19,7 +19,7 @@
     Then no worker was ever overcommitted, and nothing ran twice
 
   Scenario: A worker is silent for half a lease
-    # Guards against a sound worker whose lease lapses behind one lost renewal.
+    # Guards against a healthy worker whose lease lapses after one lost renewal.
     Given two entries and 2 workers in memory
     When "arolwg" submits the task "b1" which runs for 10 s
     And the task "b1" runs for 2000 ms
@@ -28,8 +28,8 @@
     And the task "b1" is finished
     And "b1" was started 1 times
 
-  Scenario: A task ends while no entry is there, and its VM alone is lost
-    # Guards against an end that its attendant has seen and nobody stored.
+  Scenario: A task ends while no entry runs, and its VM alone is lost
+    # Guards against an end that the attendant has seen and that nobody stored.
     Given two entries and 2 workers in memory
     When "arolwg" submits the task "b1" which runs for 4 s
     And the task "b1" runs for 2000 ms
@@ -41,8 +41,8 @@
     And "b1" was started 1 times
     And no worker was ever overcommitted, and nothing ran twice
 
-  Scenario: A worker's VM starts anew beside its attendant
-    # Guards against a lease that goes on in the term of the VM's earlier life.
+  Scenario: A worker's VM restarts beside its attendant
+    # Guards against a lease that continues in the term of the VM's earlier incarnation.
     Given two entries and 2 workers in memory
     When "arolwg" submits the task "b1" which runs for 10 s
     And the task "b1" runs for 2000 ms
@@ -50,8 +50,8 @@
     And the task "b1" is finished within 60 s
     Then no worker was ever overcommitted, and nothing ran twice
 
-  Scenario: A worker's VM starts anew before its attendant has seen what runs there
-    # Guards against an attempt started again in the new life's old term.
+  Scenario: A worker's VM restarts before its attendant has listed its tasks
+    # Guards against an attempt started again as the new incarnation keeps the term.
     Given two entries and 2 workers in memory
     When "arolwg" submits the task "b1" which runs for 10 s
     And the task "b1" runs for 1 ms
@@ -59,8 +59,8 @@
     And the task "b1" is finished within 60 s
     Then no worker was ever overcommitted, and nothing ran twice
 
-  Scenario: A worker loses a task and lives on
-    # Guards against a task that counts as running though its worker lists it no more.
+  Scenario: A worker loses a task and keeps running
+    # Guards against a task that counts as running although no worker lists it.
     Given two entries and 2 workers in memory
     When "arolwg" submits the task "b1" which runs for 10 s
     And the task "b1" runs for 2000 ms
@@ -68,8 +68,8 @@
     And the task "b1" is finished within 60 s
     Then no worker was ever overcommitted, and nothing ran twice
 
-  Scenario: A task ends while no entry is there, and its VM starts anew
-    # Guards against an end forgotten with the VM's earlier life before it is stored.
+  Scenario: A task ends while no entry runs, and its VM restarts
+    # Guards against an end lost with the VM's earlier incarnation before it is stored.
     Given two entries and 2 workers in memory
     When "arolwg" submits the task "b1" which runs for 4 s
     And the task "b1" runs for 2000 ms
@@ -82,8 +82,8 @@
     And "b1" was started 1 times
     And no worker was ever overcommitted, and nothing ran twice
 
-  Scenario: Most VMs are lost, and their attendants live on
-    # Guards against proposals used up by attendants of lost VMs.
+  Scenario: Most VMs are lost, and their attendants keep running
+    # Guards against a task whose proposals all go to attendants of lost VMs.
     Given two entries and 5 workers in memory
     When the VMs of 4 workers are lost and their attendants live on
     And 20000 ms pass
@@ -101,7 +101,7 @@
     Then no worker was ever overcommitted, and nothing ran twice
 
   Scenario: A worker answers all but renewals
-    # Guards against the same, where renewals are never answered.
+    # Guards against a row renewed for a worker that never answers renewals.
     Given two entries and 2 workers in memory
     When "arolwg" submits the task "b1" which runs for 10 s
     And the task "b1" runs for 2000 ms
@@ -110,8 +110,8 @@
     Then "b1" was started 2 times
     And no worker was ever overcommitted, and nothing ran twice
 
-  Scenario: A worker takes a renewal, and its answer is lost
-    # A control to the two above: one lost answer must cost nothing.
+  Scenario: A worker accepts a renewal, and its answer is lost
+    # Control for the two scenarios above: one lost answer must not stop the task.
     Given two entries and 2 workers in memory
     When "arolwg" submits the task "b1" which runs for 10 s
     And the task "b1" runs for 2000 ms
@@ -122,7 +122,7 @@
     And no renewal was for no time
 
   Scenario: An attendant whose renewal is not answered has a successor
-    # Guards against a renewal handed over again by an attendant that was replaced.
+    # Guards against a renewal repeated by an attendant that has been replaced.
     Given two entries and 2 workers in memory
     When "arolwg" submits the task "b1" which runs for 10 s
     And the task "b1" runs for 2000 ms
@@ -133,7 +133,7 @@
     Then the first attendant renews nothing any more
 
   Scenario: A worker refuses renewals from its attendant's start on
-    # Guards against tasks taken for a worker before it has taken the first renewal.
+    # Guards against tasks accepted for a worker before it accepts its first renewal.
     Given two entries and 2 workers in memory
     When worker-01 refuses every renewal, and its attendant is started anew
     And 1000 ms pass
@@ -141,14 +141,14 @@
     And the task "b1" is finished within 3 s
     Then "b1" was started 1 times
 
-  Scenario: A term that no row grants yet takes no task
-    # Guards against a task taken in a term that was never written.
+  Scenario: No task is accepted in a term that no row grants yet
+    # Guards against a task accepted in a term that was never written.
     Given two entries and 1 workers in memory
     When worker-01 is cut off from the table, and its VM starts anew just after a renewal
     And 995 ms pass
     And "arolwg" submits the task "b1" which runs for 4 s
     And 300 ms pass
-    And the attendant of worker-01 is killed and started anew
+    And the attendant of worker-01 is killed and restarted
     And worker-01 reaches the table again
     And the task "b1" is finished within 60 s
     Then no worker was ever overcommitted, and nothing ran twice
