--- a/tests/steps/list_steps.py
+++ b/tests/steps/list_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the operators' two lists in a world in memory."""
+"""Steps for the operators' two lists in a simulated deployment in memory."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
     _post(context, entry, operator)
 
 
-@when("every daemon is pushed version {version:d} once more")
-def push_old(context, version):
+@when("version {version:d} is pushed to every daemon again")
+def push_again(context, version):
     rows = context.world.cell.table.row_by_key
     record = rows[f"lists/history/{version:09d}"].decode(EditRecord)
 
@@ -44,7 +44,7 @@
     context.world.run(push)
 
 
-@when("entry-3 is started and told of entry-1")
+@when("entry-3 is started with entry-1 as its seed")
 def start_with_seed(context):
     cell = context.world.cell
     seed = cell.entry_by_name["entry-1"].describe().peers
@@ -53,28 +53,28 @@
 
 
 @then("entry-3 has version {version:d} in force, and is not healthy")
-def check_fresh(context, version):
+def check_unhealthy(context, version):
     entry = context.world.cell.entry_by_name["entry-3"]
     assert entry.holder.current.version == version, entry.holder.current
     answer = context.world.ask("entry-3", HttpRequest(method="GET", target="/health"))
     assert answer.status == 503, answer
 
 
-@then('"{operator}" is told version {version:d}')
+@then('"{operator}" receives lists version {version:d}')
 def check_accepted(context, operator, version):
     answer = context.answer_by_operator[operator]
     assert answer.status == 200, answer
     assert msgspec.json.decode(answer.body, type=Lists).version == version
 
 
-@then('"{operator}" hears that "{winner}" won')
-def check_lost(context, operator, winner):
+@then('"{operator}" is refused the edit because "{winner}" edited first')
+def check_conflict(context, operator, winner):
     answer = context.answer_by_operator[operator]
     assert answer.status == 409, answer
     assert json.loads(answer.body)["detail"].startswith(f"{winner} changed"), answer
 
 
-@then('"{operator}" hears that "{text}" is wrong')
+@then('"{operator}" is refused the edit with "{text}"')
 def check_invalid(context, operator, text):
     answer = context.answer_by_operator[operator]
     assert answer.status == 400, answer
