--- a/coltsfoottray/agent/attendant.py
+++ b/coltsfoottray/agent/attendant.py
@@ -315,7 +315,7 @@
             self._begin_session(reply.orders.session)
         self._carry_out(reply.orders)
         self.is_lease_pending = reply.is_lease_pending
-        is_due = report.shows_life and not reply.is_lease_pending
+        is_due = report.is_worker_alive and not reply.is_lease_pending
         return reply.lease_ms > 0 or not is_due
 
     async def answer_orders(self, orders: Orders) -> Acknowledged:
--- a/coltsfoottray/daemons/job_entry.py
+++ b/coltsfoottray/daemons/job_entry.py
@@ -107,7 +107,7 @@
             holder=self.holder,
             clock=self.clock,
             random=self.random,
-            keep=timedelta(seconds=settings.keep_s),
+            retention=timedelta(seconds=settings.keep_s),
             adviser=self._make_adviser(settings),
             metrics=self.metrics,
         )
@@ -187,21 +187,21 @@
                 queues=len(self.holder.current.queues),
                 size_bytes=len(bytes(row.value)),
             )
-            self.scheduler.look_again()
+            self.scheduler.replan()
 
     def _take_job_row(self, row: Row) -> None:
         if row.key == LEASE_KEY:
             if not row.is_deleted:
-                self._watch.see(row.decode(LeaseRow), row.version)
+                self._watch.observe(row.decode(LeaseRow), row.version)
             return
         self.view.take(row)
         if row.is_deleted or is_scheduler_key(row.key):
             return
         job_id = job_of(row.key)
         if "/cancel." in row.key:
-            self.scheduler.see_cancelled(job_id)
+            self.scheduler.observe_cancelled(job_id)
         elif job_id in self.view.job_by_id:
-            self.scheduler.see_accepted(self.view.job_by_id[job_id])
+            self.scheduler.observe_accepted(self.view.job_by_id[job_id])
 
 
 class Background(Service):
--- a/coltsfoottray/jobs/intake.py
+++ b/coltsfoottray/jobs/intake.py
@@ -153,7 +153,7 @@
         """Let the scheduler know of a job accepted here."""
         job = self._view.job_by_id.get(job_id)
         if job is not None:
-            await self._scheduler.tell_accepted(job)
+            await self._scheduler.notify_accepted(job)
 
     async def cancel(self, job_id: JobId, *, deadline: timedelta) -> JobAnswer:
         """Cancel a job; one that has ended stays as it is."""
@@ -168,7 +168,7 @@
         log_event("decision:cancel", job=job_id, verdict=answer.verdict.value)
         if answer.verdict is Verdict.DONE:
             self._view.cancelled.add(job_id)
-            await self._scheduler.tell_cancelled(job_id)
+            await self._scheduler.notify_cancelled(job_id)
         return answer
 
     async def state(self, job_id: JobId) -> JobAnswer:
@@ -182,7 +182,7 @@
         state = self._view.state_of(job_id)
         if not state.is_final:
             # The view is a little old; an end is worth asking for.
-            newer = await self._scheduler.ask_state(job_id)
+            newer = await self._scheduler.query_state(job_id)
             state = newer or state
         return JobAnswer(verdict=Verdict.DONE, state=state)
 
--- a/coltsfoottray/scheduler/reign.py
+++ b/coltsfoottray/scheduler/active.py
@@ -21,9 +21,8 @@
 from coltsfoottray.platform import WatchedTable
 from coltsfoottray.scheduler.board import Board
 from coltsfoottray.scheduler.fleet import Fleet, PlacedRun, Worker
-from coltsfoottray.scheduler.grants import Grants, is_late
-from coltsfoottray.scheduler.lease import RENEWAL, LeaseRow
-from coltsfoottray.scheduler.ledger import Ledger
+from coltsfoottray.scheduler.grants import Grants, is_out_of_order
+from coltsfoottray.scheduler.lease import RENEWAL_INTERVAL, LeaseRow
 from coltsfoottray.scheduler.live import LiveJob
 from coltsfoottray.scheduler.messages import (
     ORDERS,
@@ -31,11 +30,12 @@
     Report,
     ReportReply,
 )
-from coltsfoottray.scheduler.orders import as_order, orders_after
+from coltsfoottray.scheduler.orders import make_start_order, missing_orders
 from coltsfoottray.scheduler.planner import Planner
-from coltsfoottray.scheduler.restore import Stored
+from coltsfoottray.scheduler.restore import StoredState
+from coltsfoottray.scheduler.writer import StateWriter
 
-__all__ = ["Reign"]
+__all__ = ["ActiveScheduler"]
 
 # What comes within it is decided together and stored in one transaction.
 _MIN_ROUND = timedelta(milliseconds=15)
@@ -56,7 +56,7 @@
     forgotten: list[JobId] = field(default_factory=list)
 
 
-class Reign:
+class ActiveScheduler:
     """Decides and stores for as long as the lease row is ours.
 
     Parameters
@@ -77,7 +77,7 @@
         *,
         lease: LeaseRow,
         version: int,
-        won: timedelta,
+        acquired_at: timedelta,
         silent_until: Mapping[str, timedelta],
         table: WatchedTable,
         peers: PeerClient,
@@ -90,19 +90,19 @@
         self._clock = clock
         self._metrics = metrics
         self._fleet = Fleet()
-        self.board = Board(holder=holder, fleet=self._fleet)
-        self.planner = Planner(board=self.board, holder=holder)
+        self.cluster = Board(holder=holder, fleet=self._fleet)
+        self.planner = Planner(board=self.cluster, holder=holder)
         self._grants = Grants(
             epoch=lease.epoch,
-            won=won,
+            acquired_at=acquired_at,
             silent_until=silent_until,
             fleet=self._fleet,
             clock=clock,
         )
-        self._ledger = Ledger(
+        self._writer = StateWriter(
             lease=lease,
             version=version,
-            won=won,
+            acquired_at=acquired_at,
             grants=self._grants,
             table=table,
             clock=clock,
@@ -115,56 +115,56 @@
     @property
     def lease(self) -> LeaseRow:
         """The lease row as last written."""
-        return self._ledger.lease
+        return self._writer.lease
 
     # What others ask and tell; none of it changes the board.
 
-    def answer_report(self, report: Report) -> ReportReply:
+    def handle_report(self, report: Report) -> ReportReply:
         """Take a report in and grant its worker what it may have."""
         worker = self._fleet.get_or_add(
-            report.worker, report.address, self._grants.first_lease_end(report.worker)
+            report.worker, report.address, self._grants.prior_lease_end(report.worker)
         )
-        if is_late(worker, report):
+        if is_out_of_order(worker, report):
             return ReportReply(scheduler=self.lease.address)
-        lease_ms = self._grants.renew(worker, report, self._ledger.confirmed)
-        self._grants.grant_session(worker, report)
+        lease_ms = self._grants.renew(worker, report, self._writer.confirmed_at)
+        self._grants.ensure_session(worker, report)
         self._inbox.reports.append(report)
         self._wake.set()
         orders = Orders(session=worker.session, life=report.life)
         if self.is_loaded and worker.session:
-            orders = orders_after(worker, report)
+            orders = missing_orders(worker, report)
         return ReportReply(
             scheduler=self.lease.address,
             is_scheduler=True,
             epoch=self.lease.epoch,
             lease_ms=lease_ms,
-            is_lease_pending=report.shows_life
-            and self._grants.is_pending(worker, self._ledger.confirmed),
+            is_lease_pending=report.is_worker_alive
+            and self._grants.is_pending(worker, self._writer.confirmed_at),
             orders=orders,
-            pressures=self.board.pressures.all(),
+            pressures=self.cluster.pressures.all(),
         )
 
-    def tell_accepted(self, job: AcceptedJob) -> None:
+    def notify_accepted(self, job: AcceptedJob) -> None:
         """Hear of a stored job."""
         self._inbox.accepted.append(job)
         self._wake.set()
 
-    def tell_cancelled(self, job: JobId) -> None:
+    def notify_cancelled(self, job: JobId) -> None:
         """Hear of a stored cancellation."""
         self._inbox.cancelled.append(job)
         self._wake.set()
 
     def state_of(self, job_id: JobId) -> JobState | None:
         """Return the stored state of a job."""
-        job = self.board.job_by_id.get(job_id)
+        job = self.cluster.job_by_id.get(job_id)
         return None if job is None else job.stored_state
 
-    def ended_before(self, moment_ms: int) -> list[JobId]:
+    def jobs_ended_before(self, moment_ms: int) -> list[JobId]:
         """Return the jobs that ended before a moment and run nowhere any more."""
         held = {placed.ref.task.job for placed in self._fleet.placed_runs()}
         return [
             job.id
-            for job in self.board.job_by_id.values()
+            for job in self.cluster.job_by_id.values()
             if job.stored_state.is_final
             and job.record.ended_ms < moment_ms
             and job.id not in held
@@ -181,17 +181,17 @@
 
     # The rounds.
 
-    def load(self, stored: Stored) -> None:
+    def load(self, stored: StoredState) -> None:
         """Take in everything that was stored before the row was taken over."""
         now = self._clock.elapsed()
         now_ms = as_milliseconds(self._clock.now())
-        for orphan in stored.orphans:
+        for orphan in stored.orphan_rows:
             if is_scheduler_key(orphan.key):
-                self._ledger.discard(orphan.key, orphan.version)
+                self._writer.discard(orphan.key, orphan.version)
         if stored.pressures is not None:
             pressures = stored.pressures.decode(list[Pressure])
-            self._ledger.adopt_pressures(stored.pressures.version, pressures)
-            self.board.pressures.restore(pressures)
+            self._writer.adopt_pressures(stored.pressures.version, pressures)
+            self.cluster.pressures.restore(pressures)
         for each in stored.jobs:
             job = LiveJob(
                 accepted=each.accepted,
@@ -199,22 +199,22 @@
                 version=each.version,
                 summary=each.summary,
                 summary_version=each.summary_version,
-                lengths=self.board.lengths,
+                lengths=self.cluster.lengths,
             )
-            self.board.restore(
+            self.cluster.restore(
                 job,
-                lease_end=self._grants.first_lease_end,
+                lease_end=self._grants.prior_lease_end,
                 now=now,
             )
             if each.is_cancelled:
-                self.board.cancel(each.accepted.id, now_ms)
+                self.cluster.cancel(each.accepted.id, now_ms)
         self.is_loaded = True
         self._loaded = now
         log_event(
             "scheduler:loaded",
             epoch=self.lease.epoch,
-            jobs=len(self.board.job_by_id),
-            active=len(self.board.active_by_id),
+            jobs=len(self.cluster.job_by_id),
+            active=len(self.cluster.active_by_id),
             workers=len(self._fleet.worker_by_id),
             held_by_worker={
                 worker.id: len(worker.held_by_ref)
@@ -236,12 +236,12 @@
                 await self._wait_for_news()
                 begun = self._clock.elapsed()
                 placed, ends = self._decide()
-                await self._ledger.store(
-                    self.board.job_by_id.values(), self.board.pressures
+                await self._writer.store(
+                    self.cluster.job_by_id.values(), self.cluster.pressures
                 )
                 self._release(placed, ends, nursery)
                 self._measure(begun, placed)
-        await self._ledger.resign()
+        await self._writer.resign()
 
     def resign(self) -> None:
         """Let another entry take over at once, after the round under way."""
@@ -260,7 +260,7 @@
                 priority = str(job.terms.priority)
                 self._metrics.time("wait_for_start", waited, priority=priority)
         self._metrics.count("runs_placed", len(placed))
-        self._metrics.gauge("jobs_active", len(self.board.active_by_id))
+        self._metrics.gauge("jobs_active", len(self.cluster.active_by_id))
         workers = self._fleet.worker_by_id.values()
         self._metrics.gauge("workers_reachable", sum(w.is_reachable for w in workers))
         self._metrics.gauge("runs_held", sum(len(w.held_by_ref) for w in workers))
@@ -268,7 +268,7 @@
         self._metrics.gauge("runs_out_of_reach", sum(map(len, out_of_reach)))
 
     async def _wait_for_news(self) -> None:
-        due = self._ledger.renewed + RENEWAL - self._clock.elapsed()
+        due = self._writer.renewed_at + RENEWAL_INTERVAL - self._clock.elapsed()
         due = min(due, self._until_planned())
         with trio.move_on_after(max(due.total_seconds(), 0.0)):
             await self._wake.wait()
@@ -279,9 +279,9 @@
         """Return when plans may be made again, or the next occurrence is due."""
         if self._is_gathering():
             return self._loaded + _GATHERING - self._clock.elapsed()
-        next_due_ms = self.board.next_due_ms()
+        next_due_ms = self.cluster.next_due_ms()
         if next_due_ms is None:
-            return RENEWAL
+            return RENEWAL_INTERVAL
         return timedelta(milliseconds=next_due_ms - as_milliseconds(self._clock.now()))
 
     def _decide(self) -> tuple[list[PlacedRun], dict[str, int]]:
@@ -290,19 +290,19 @@
         now_ms = as_milliseconds(self._clock.now())
         inbox, self._inbox = self._inbox, Inbox()
         for job in inbox.accepted:
-            self.board.accept(job)
+            self.cluster.accept(job)
         for job_id in inbox.cancelled:
-            self.board.cancel(job_id, now_ms)
+            self.cluster.cancel(job_id, now_ms)
         for job_id in inbox.forgotten:
-            ended = self.board.job_by_id.get(job_id)
+            ended = self.cluster.job_by_id.get(job_id)
             if ended is not None:
-                self._ledger.forget(ended)
-            self.board.forget(job_id)
+                self._writer.forget(ended)
+            self.cluster.forget(job_id)
         last_end_by_worker: dict[str, int] = {}
         for report in inbox.reports:
-            last = self.board.take_report(report, now, now_ms)
+            last = self.cluster.take_report(report, now, now_ms)
             last_end_by_worker[report.worker] = last
-        self.board.expire(now, now_ms)
+        self.cluster.expire(now, now_ms)
         self.planner.evacuate(now)
         self.planner.rebalance(now)
         self.planner.pack_services(now)
@@ -339,7 +339,7 @@
             orders = Orders(
                 session=worker.session,
                 life=worker.life,
-                starts=[as_order(each) for each in starts],
+                starts=[make_start_order(each) for each in starts],
                 stops=[each.ref for each in stops],
                 acknowledged=worker.acknowledged,
             )
--- a/coltsfoottray/scheduler/advice.py
+++ b/coltsfoottray/scheduler/advice.py
@@ -90,9 +90,10 @@
     except CommunicationError as error:
         log_event("advice:no-answer", job=step.job.id, reason=str(error))
         return False
-    until = asked + timedelta(milliseconds=terms.validity_ms)
+    expires_at = asked + timedelta(milliseconds=terms.validity_ms)
     step.ticket_by_life = {
-        permit.life: Ticket(value=permit.ticket, until=until) for permit in permits
+        permit.life: Ticket(value=permit.ticket, expires_at=expires_at)
+        for permit in permits
     }
     Questions.note_answer(question, step.ticket_by_life, asked)
     log_event(
--- a/coltsfoottray/scheduler/board.py
+++ b/coltsfoottray/scheduler/board.py
@@ -123,11 +123,11 @@
     @staticmethod
     def _take_checkpoint(placed: PlacedRun, status: RunStatus) -> None:
         index = status.ref.task.index
-        keeper = placed.step.keeper(index)
+        checkpoint_record = placed.step.checkpoint_record(index)
         if placed.step.records[index].run != status.ref.run:
             return
-        if status.checkpoint not in ("", keeper.checkpoint):
-            keeper.checkpoint = status.checkpoint
+        if status.checkpoint not in ("", checkpoint_record.checkpoint):
+            checkpoint_record.checkpoint = status.checkpoint
             placed.step.job.has_new_checkpoints = True
 
     def expire(self, now: timedelta, now_ms: int) -> None:
@@ -221,7 +221,7 @@
             worker.leaves = worker.heard + timedelta(milliseconds=report.remaining_ms)
         worker.is_draining = report.is_draining
         was_reachable = worker.is_reachable
-        worker.is_reachable = report.shows_life
+        worker.is_reachable = report.is_worker_alive
         if was_reachable and not worker.is_reachable and worker.held_by_ref:
             log_event(
                 "decision:out-of-reach",
@@ -323,7 +323,7 @@
             return
         job.is_dirty = True
         if checkpoint:
-            step.keeper(ref.task.index).checkpoint = checkpoint
+            step.checkpoint_record(ref.task.index).checkpoint = checkpoint
         if kind is EndKind.DONE and not step.spec.is_service:
             self._note_done(step, ref, now_ms)
             return
--- a/coltsfoottray/scheduler/fleet.py
+++ b/coltsfoottray/scheduler/fleet.py
@@ -79,7 +79,7 @@
 
     def _tell_length(self, length_ms: float | None) -> None:
         if length_ms is not None and not self.step.spec.is_service:
-            self.step.job.note_length(self.step.number, length_ms)
+            self.step.job.record_length(self.step.number, length_ms)
 
     @property
     def reserved(self) -> Resources:
--- a/coltsfoottray/scheduler/grants.py
+++ b/coltsfoottray/scheduler/grants.py
@@ -9,10 +9,10 @@
 from coltsfoottray.clock import Clock
 from coltsfoottray.logs import log_event
 from coltsfoottray.scheduler.fleet import Fleet, Worker
-from coltsfoottray.scheduler.lease import AUTHORITY
+from coltsfoottray.scheduler.lease import MAX_LEASE_AFTER_WRITE
 from coltsfoottray.scheduler.messages import Report
 
-__all__ = ["Grants", "is_late"]
+__all__ = ["Grants", "is_out_of_order"]
 
 # How far ahead of a report a worker's lease may reach. A worker that is lost is
 # given up after it, and an attendant that restarts has this long to return
@@ -50,19 +50,19 @@
         self,
         *,
         epoch: int,
-        won: timedelta,
+        acquired_at: timedelta,
         silent_until: Mapping[str, timedelta],
         fleet: Fleet,
         clock: Clock,
     ) -> None:
         self._epoch = epoch
-        self._won = won
+        self._acquired_at = acquired_at
         self._silent_until = silent_until
         self._fleet = fleet
         self._clock = clock
         self._sessions = 0
 
-    def renew(self, worker: Worker, report: Report, confirmed: timedelta) -> int:
+    def renew(self, worker: Worker, report: Report, confirmed_at: timedelta) -> int:
         """Return a lease in milliseconds, none unless the worker is seen to live.
 
         Attendants outlive their workers. Were their reports alone enough, the lease of
@@ -75,18 +75,18 @@
             When the last write was sent that proved the scheduler's right.
         """
         worker.heard = self._clock.elapsed()
-        if report.shows_life or report.incarnation != worker.incarnation:
+        if report.is_worker_alive or report.incarnation != worker.incarnation:
             # A new attendant has yet to see its worker. Were that listed as silent
             # till then, it would get no lease if the table fails just as it is seen.
             worker.answered = worker.heard
-        if report.shows_life:
-            return self.grant(worker, confirmed)
+        if report.is_worker_alive:
+            return self.grant(worker, confirmed_at)
         if 0 < worker.session == report.session:
             # Not of an attendant that another one may have replaced meanwhile.
             self._shorten(worker, timedelta(milliseconds=report.lease_left_ms))
         return 0
 
-    def grant(self, worker: Worker, confirmed: timedelta) -> int:
+    def grant(self, worker: Worker, confirmed_at: timedelta) -> int:
         """Return a lease in milliseconds and remember when it surely ends.
 
         Parameters
@@ -95,15 +95,18 @@
             When the last write was sent that proved the scheduler's right.
         """
         now = self._clock.elapsed()
-        granted = min(now + _HORIZON, confirmed + AUTHORITY) - now
+        granted = min(now + _HORIZON, confirmed_at + MAX_LEASE_AFTER_WRITE) - now
         if granted <= timedelta(0) or worker.is_listed:
             return 0
         worker.lease_end = max(worker.lease_end, now + granted * _DRIFT)
         return math.floor(granted.total_seconds() * 1000)
 
-    def is_pending(self, worker: Worker, confirmed: timedelta) -> bool:
+    def is_pending(self, worker: Worker, confirmed_at: timedelta) -> bool:
         """Whether a worker gets a lease as soon as it is no longer listed as silent."""
-        return worker.is_listed and self._clock.elapsed() < confirmed + AUTHORITY
+        return (
+            worker.is_listed
+            and self._clock.elapsed() < confirmed_at + MAX_LEASE_AFTER_WRITE
+        )
 
     def _shorten(self, worker: Worker, left: timedelta) -> None:
         """Note that a worker that does not answer may run for `left` at the most.
@@ -123,9 +126,11 @@
             )
         worker.lease_end = min(worker.lease_end, end)
 
-    def first_lease_end(self, worker: str) -> timedelta:
+    def prior_lease_end(self, worker: str) -> timedelta:
         """Return when leases granted by earlier schedulers have surely ended."""
-        return self._silent_until.get(worker, self._won + AUTHORITY * _DRIFT)
+        return self._silent_until.get(
+            worker, self._acquired_at + MAX_LEASE_AFTER_WRITE * _DRIFT
+        )
 
     def list_silent(self) -> dict[str, int]:
         """Return what a next scheduler must wait for, and grant them no more."""
@@ -143,7 +148,7 @@
         for worker in self._fleet.worker_by_id.values():
             worker.is_listed = worker.id in silent_ms
 
-    def has_returned(self) -> bool:
+    def has_recovered_worker(self) -> bool:
         """Whether a worker answers again that the stored row still lists as silent.
 
         It gets no lease before another row stands; until the next renewal was due,
@@ -155,7 +160,7 @@
             for worker in self._fleet.worker_by_id.values()
         )
 
-    def grant_session(self, worker: Worker, report: Report) -> None:
+    def ensure_session(self, worker: Worker, report: Report) -> None:
         """Grant an attendant a session of its own, and another to each life beside it.
 
         So a look in it shuts out the orders that were meant for the life before.
@@ -187,7 +192,7 @@
         return self._epoch * _SESSIONS_PER_EPOCH + self._sessions
 
 
-def is_late(worker: Worker, report: Report) -> bool:
+def is_out_of_order(worker: Worker, report: Report) -> bool:
     """Whether a later report of the same attendant has been taken in.
 
     One that got no answer may still arrive, seconds later. What it says of the lease is
--- a/coltsfoottray/scheduler/lease.py
+++ b/coltsfoottray/scheduler/lease.py
@@ -19,15 +19,21 @@
 from coltsfoottray.scheduler.messages import PING, Ping
 from coltsfoottray.types import Address
 
-__all__ = ["AUTHORITY", "RENEWAL", "LeaseRow", "LeaseWatch", "Standing"]
+__all__ = [
+    "MAX_LEASE_AFTER_WRITE",
+    "RENEWAL_INTERVAL",
+    "HolderStatus",
+    "LeaseRow",
+    "LeaseWatch",
+]
 
 # How long after its last confirmed write a scheduler lets workers run on. Just
 # under the platform's longest lease (10 s), so that an outage of the table of 4.5 s,
 # or one of 9 s for some, stops no task.
-AUTHORITY = timedelta(seconds=9)
+MAX_LEASE_AFTER_WRITE = timedelta(seconds=9)
 
 # The row is written at least this often.
-RENEWAL = timedelta(milliseconds=500)
+RENEWAL_INTERVAL = timedelta(milliseconds=500)
 
 # Three renewals missed, less the time a change takes to be seen.
 _STALE = timedelta(milliseconds=1300)
@@ -64,7 +70,7 @@
     silent_ms: dict[str, int] = msgspec.field(default_factory=dict)
 
 
-class Standing(enum.Enum):
+class HolderStatus(enum.Enum):
     """What is known of the holder."""
 
     NONE = "none"
@@ -83,7 +89,7 @@
     @property
     def is_free(self) -> bool:
         """Whether the row may be taken over."""
-        return self is not Standing.HELD
+        return self is not HolderStatus.HELD
 
 
 class LeaseWatch:
@@ -106,34 +112,34 @@
         self.version = 0
         self.changed = clock.elapsed()
 
-    def see(self, row: LeaseRow, version: int) -> None:
+    def observe(self, row: LeaseRow, version: int) -> None:
         """Take in what the row holds now."""
         if version > self.version:
             self.row = row
             self.version = version
             self.changed = self._clock.elapsed()
 
-    async def judge(self) -> Standing:
+    async def check_holder(self) -> HolderStatus:
         """Return the holder's standing, as seen by a process that is not it."""
         row = self.row
         if row is None:
-            return Standing.NONE
+            return HolderStatus.NONE
         if row.is_resigned:
-            return Standing.RESIGNED
+            return HolderStatus.RESIGNED
         if row.incarnation == self._incarnation:
-            return Standing.ABANDONED
+            return HolderStatus.ABANDONED
         if row.holder == self._name:
-            return Standing.REPLACED
+            return HolderStatus.REPLACED
         try:
             reply = await self._peers.call(
                 row.address, PING, Ping(), timeout=_PING_TIMEOUT
             )
         except CommunicationError:
             # The row may have changed while the call waited.
-            return Standing.STALE if self._age() > _STALE else Standing.HELD
+            return HolderStatus.STALE if self._age() > _STALE else HolderStatus.HELD
         if reply.incarnation != row.incarnation:
-            return Standing.REPLACED
-        return Standing.CUT_OFF if self._age() > _CUT_OFF else Standing.HELD
+            return HolderStatus.REPLACED
+        return HolderStatus.CUT_OFF if self._age() > _CUT_OFF else HolderStatus.HELD
 
     def _age(self) -> timedelta:
         """Return for how long the row has not changed."""
--- a/coltsfoottray/scheduler/live.py
+++ b/coltsfoottray/scheduler/live.py
@@ -16,7 +16,7 @@
 from coltsfoottray.scheduler.hindrance import Hindrance
 from coltsfoottray.scheduler.lengths import LengthBook
 
-__all__ = ["Inquiry", "LiveJob", "LiveStep", "Ticket"]
+__all__ = ["AdviceState", "LiveJob", "LiveStep", "Ticket"]
 
 # A start is stored, sent and carried out within it, on an ordinary day.
 _ORDER_TIME = timedelta(milliseconds=300)
@@ -27,11 +27,11 @@
     """Lets a worker run a step until it expires."""
 
     value: str
-    until: timedelta
+    expires_at: timedelta
 
 
 @dataclass(kw_only=True)
-class Inquiry:
+class AdviceState:
     """What an outside service was asked about a step.
 
     Parameters
@@ -43,13 +43,13 @@
         By life of a worker that may not run the step, when that was told.
     """
 
-    turn: timedelta | None = None
+    considered_at: timedelta | None = None
     refused_by_life: dict[str, timedelta] = field(default_factory=dict)
 
-    def note_ready(self, now: timedelta) -> None:
+    def mark_ready(self, now: timedelta) -> None:
         """Note that the step can start."""
-        if self.turn is None:
-            self.turn = now
+        if self.considered_at is None:
+            self.considered_at = now
 
 
 @dataclass(kw_only=True, eq=False)
@@ -82,8 +82,8 @@
     failed_runs: set[int] = field(default_factory=set)
     avoid_by_index: dict[int, set[str]] = field(default_factory=dict)
     ticket_by_life: dict[str, Ticket] = field(default_factory=dict)
-    inquiry: Inquiry = field(default_factory=Inquiry)
-    tried: int = 0
+    advice_state: AdviceState = field(default_factory=AdviceState)
+    last_tried_round: int = 0
     hindrance: Hindrance | None = None
 
     def __post_init__(self) -> None:
@@ -103,7 +103,7 @@
         return {
             life
             for life, ticket in self.ticket_by_life.items()
-            if ticket.until > now + _ORDER_TIME
+            if ticket.expires_at > now + _ORDER_TIME
         }
 
     @property
@@ -125,7 +125,7 @@
         steps = self.job.steps_by_occurrence[self.occurrence]
         return all(steps[number].is_done for number in self.spec.after)
 
-    def keeper(self, index: int) -> TaskRecord:
+    def checkpoint_record(self, index: int) -> TaskRecord:
         """Return the record that holds a task's checkpoint.
 
         That of any member of a gang holds for all, and they must begin with the same.
@@ -190,10 +190,10 @@
         self.is_dirty = False
         # Whether a checkpoint came since it was stored last, and when that was.
         self.has_new_checkpoints = False
-        self.stored = timedelta(0)
+        self.stored_at = timedelta(0)
         # Since when nothing of it has run although a task could.
         self.idle_since: timedelta | None = None
-        self._chain_ms = 0.0
+        self._critical_path_ms = 0.0
         for number, seen_ms in self.record.length_ms_by_step.items():
             self._tell_length(number, seen_ms)
         self.steps_by_occurrence: list[list[LiveStep]] = [
@@ -221,7 +221,7 @@
         repetition = self.accepted.spec.repetition
         return 0 if repetition is None else repetition.due_ms(number)
 
-    def open_occurrences(self, now_ms: int) -> None:
+    def add_due_occurrences(self, now_ms: int) -> None:
         """Add the occurrences whose time has come."""
         while (due := self.next_due_ms) is not None and due <= now_ms:
             tasks = [
@@ -233,21 +233,21 @@
             self.steps_by_occurrence.append(self._make_steps(number, tasks))
 
     @property
-    def chain_ms(self) -> float:
+    def critical_path_ms(self) -> float:
         """The expected length of its longest chain of work, in ms."""
         self._expect_lengths()
-        return self._chain_ms
+        return self._critical_path_ms
 
-    def chain_left(self, occurrence: int) -> float:
+    def critical_path_left_ms(self, occurrence: int) -> float:
         """Return the expected length of what is not done of an occurrence, in ms."""
         self._expect_lengths()
         steps = self.steps_by_occurrence[occurrence]
         left = [
             0.0 if step.is_done else self._expected_ms[step.number] for step in steps
         ]
-        return _longest_chain([step.spec for step in steps], left)
+        return _longest_path([step.spec for step in steps], left)
 
-    def note_length(self, step: int, seen_ms: float) -> None:
+    def record_length(self, step: int, seen_ms: float) -> None:
         """Take in how long a task of a step took, or will take."""
         known = self.record.length_ms_by_step
         if step not in known:
@@ -269,7 +269,7 @@
             self._expect_ms(number, step.estimate_ms)
             for number, step in enumerate(steps)
         ]
-        self._chain_ms = _longest_chain(steps, self._expected_ms)
+        self._critical_path_ms = _longest_path(steps, self._expected_ms)
 
     def _expect_ms(self, step: int, declared_ms: float) -> float:
         """Return how long a task of a step is likely to take, in ms."""
@@ -312,12 +312,12 @@
         """Whether what callers may ask for has changed since it was stored."""
         return self.record.summary != self.stored_summary
 
-    def note_stored(self, version: int, summary_version: int, sent: timedelta) -> None:
+    def mark_stored(self, version: int, summary_version: int, sent: timedelta) -> None:
         """Note that both rows stand as they are, by a write sent at `sent`."""
         self.version = version
         self.summary_version = summary_version
         self.stored_summary = self.record.summary
-        self.stored = sent
+        self.stored_at = sent
         self.is_dirty = False
         self.has_new_checkpoints = False
 
@@ -358,7 +358,7 @@
         ]
 
 
-def _longest_chain(steps: list[StepSpec], length_ms: list[float]) -> float:
+def _longest_path(steps: list[StepSpec], length_ms: list[float]) -> float:
     """Return the length of the longest chain of steps, in ms."""
     ends: list[float] = []
     for number, step in enumerate(steps):
--- a/coltsfoottray/scheduler/messages.py
+++ b/coltsfoottray/scheduler/messages.py
@@ -153,7 +153,7 @@
     margin_by_image: dict[str, ServiceMargin] = msgspec.field(default_factory=dict)
 
     @property
-    def shows_life(self) -> bool:
+    def is_worker_alive(self) -> bool:
         """Whether a life of the worker is known and answers its attendant."""
         return self.is_reachable and bool(self.life)
 
--- a/coltsfoottray/scheduler/order.py
+++ b/coltsfoottray/scheduler/order.py
@@ -29,7 +29,7 @@
 def objective_ms(job: LiveJob, holder: ConfigHolder) -> float:
     """Return how long the job may take to be on time."""
     terms = holder.terms_of(job.accepted.queue, otherwise=job.accepted.terms)
-    return terms.slowdown_factor * job.chain_ms + terms.target_latency_ms
+    return terms.slowdown_factor * job.critical_path_ms + terms.target_latency_ms
 
 
 def is_half_over(job: LiveJob, holder: ConfigHolder, now_ms: int) -> bool:
@@ -56,5 +56,7 @@
         return _SERVICE
     if now_ms > begun_ms + _USEFUL_FACTOR * objective:
         return _USELESS
-    end_ms = now_ms + step.job.chain_left(step.occurrence) * _LEAST_OF_EXPECTED
+    end_ms = (
+        now_ms + step.job.critical_path_left_ms(step.occurrence) * _LEAST_OF_EXPECTED
+    )
     return _ON_TIME if end_ms <= begun_ms + objective else _LATE
--- a/coltsfoottray/scheduler/orders.py
+++ b/coltsfoottray/scheduler/orders.py
@@ -5,10 +5,10 @@
 from coltsfoottray.scheduler.fleet import PlacedRun, Worker
 from coltsfoottray.scheduler.messages import Orders, Report, StartOrder
 
-__all__ = ["as_order", "orders_after"]
+__all__ = ["make_start_order", "missing_orders"]
 
 
-def orders_after(worker: Worker, report: Report) -> Orders:
+def missing_orders(worker: Worker, report: Report) -> Orders:
     """Return the orders that a report shows to be missing.
 
     Of a worker in another life than the one known nothing is ordered yet.
@@ -25,7 +25,7 @@
         session=worker.session,
         life=worker.life,
         starts=[
-            as_order(each)
+            make_start_order(each)
             for each in held
             if not each.is_stopping and (is_new or each.ref not in known)
         ],
@@ -37,14 +37,14 @@
     )
 
 
-def as_order(placed: PlacedRun) -> StartOrder:
+def make_start_order(placed: PlacedRun) -> StartOrder:
     """Return the order to start a run."""
     spec = placed.step.spec
-    keeper = placed.step.keeper(placed.ref.task.index)
+    checkpoint_record = placed.step.checkpoint_record(placed.ref.task.index)
     return StartOrder(
         ref=placed.ref,
         payload=placed.step.job.accepted.spec.payload,
-        checkpoint=keeper.checkpoint if spec.has_checkpoints else "",
+        checkpoint=checkpoint_record.checkpoint if spec.has_checkpoints else "",
         ticket=_ticket_of(placed),
         image=spec.image,
         processors=spec.demand.processors,
--- a/coltsfoottray/scheduler/planner.py
+++ b/coltsfoottray/scheduler/planner.py
@@ -74,17 +74,17 @@
         placed, left = self._place_steps(self._ready, openings, now, now_ms)
         # Some dozens of steps that fit nowhere keep all behind them waiting for ever,
         # so of those not come to the ones go first whose last try is longest ago.
-        left.sort(key=lambda step: step.tried)
+        left.sort(key=lambda step: step.last_tried_round)
         more, _ = self._place_steps(left, openings, now, now_ms)
         return placed + more
 
     def _list_ready(self, now: timedelta, now_ms: int) -> list[LiveStep]:
         ready: list[LiveStep] = []
         for job in self._board.active_by_id.values():
-            job.open_occurrences(now_ms)
+            job.add_due_occurrences(now_ms)
             ready += [step for step in job.steps() if step.can_start]
         for step in ready:
-            step.inquiry.note_ready(now)
+            step.advice_state.mark_ready(now)
         ready.sort(key=lambda step: urgency(step, self._holder, now_ms))
         return ready
 
@@ -104,7 +104,7 @@
                 continue
             new = self._place_step(step, now, now_ms)
             note_hindrance(step, self._hindrance(step, now))
-            step.tried = self._round
+            step.last_tried_round = self._round
             placed += new
             misses += not new
         return placed, []
--- a/coltsfoottray/scheduler/questions.py
+++ b/coltsfoottray/scheduler/questions.py
@@ -51,13 +51,13 @@
         # Urgent steps whose tickets expire unused ask for ever, and leave no question
         # to any other: so one in some goes to the step whose turn is longest ago.
         self._urgent_asked = 0
-        waiting.sort(key=lambda step: step.inquiry.turn or now)
+        waiting.sort(key=lambda step: step.advice_state.considered_at or now)
         return self._first(waiting, now, is_fair=True)
 
     @staticmethod
     def note_answer(question: Question, allowed: Iterable[str], now: timedelta) -> None:
         """Note which of the workers may not run the step."""
-        refused = question.step.inquiry.refused_by_life
+        refused = question.step.advice_state.refused_by_life
         refused.update(dict.fromkeys(question.lives, now))
         for life in allowed:
             refused.pop(life, None)
@@ -69,7 +69,7 @@
         for step in steps[:_MAX_LOOKS]:
             lives = self._lives(step, now, is_fair=is_fair)
             if is_fair or lives:
-                step.inquiry.turn = now
+                step.advice_state.considered_at = now
             # Nobody is asked about any step behind one without candidates, unless it
             # is passed over.
             if lives:
@@ -78,7 +78,7 @@
 
     def _lives(self, step: LiveStep, now: timedelta, *, is_fair: bool) -> list[str]:
         """Return the lives to ask about: those that are not known to be refused."""
-        refused = step.inquiry.refused_by_life
+        refused = step.advice_state.refused_by_life
         candidates = self._planner.candidates(step, now)
         # Asked about again at once, a step that nobody may run takes every question,
         # and one that the last of many workers may run is never asked about that one.
--- a/coltsfoottray/scheduler/restore.py
+++ b/coltsfoottray/scheduler/restore.py
@@ -20,7 +20,7 @@
 from coltsfoottray.logs import log_event
 from coltsfoottray.platform import Row, TableUnavailable, WatchedTable
 
-__all__ = ["Stored", "StoredJob", "read_jobs"]
+__all__ = ["StoredJob", "StoredState", "read_stored_state"]
 
 _RETRY = timedelta(milliseconds=200)
 
@@ -38,7 +38,7 @@
 
 
 @dataclass(kw_only=True)
-class Stored:
+class StoredState:
     """All that is stored.
 
     Parameters
@@ -50,11 +50,11 @@
     """
 
     jobs: list[StoredJob]
-    orphans: list[Row]
+    orphan_rows: list[Row]
     pressures: Row | None = None
 
 
-async def read_jobs(table: WatchedTable, *, clock: Clock) -> Stored:
+async def read_stored_state(table: WatchedTable, *, clock: Clock) -> StoredState:
     """Return all that is stored, asking until the table answers."""
     rows: list[Row] = []
 
@@ -73,9 +73,9 @@
     return _assemble(rows)
 
 
-def _assemble(rows: list[Row]) -> Stored:
+def _assemble(rows: list[Row]) -> StoredState:
     stored_by_id: dict[JobId, StoredJob] = {}
-    orphans: list[Row] = []
+    orphan_rows: list[Row] = []
     pressures = next((row for row in rows if row.key == PRESSURES_KEY), None)
     for row in rows:
         if "/job." in row.key and not is_scheduler_key(row.key):
@@ -86,7 +86,7 @@
             continue
         stored = stored_by_id.get(job_of(row.key))
         if stored is None:
-            orphans.append(row)
+            orphan_rows.append(row)
             continue
         if "/cancel." in row.key:
             stored.is_cancelled = True
@@ -96,6 +96,6 @@
         elif is_scheduler_key(row.key):
             stored.summary = row.decode(JobSummary)
             stored.summary_version = row.version
-    return Stored(
-        jobs=list(stored_by_id.values()), orphans=orphans, pressures=pressures
+    return StoredState(
+        jobs=list(stored_by_id.values()), orphan_rows=orphan_rows, pressures=pressures
     )
--- a/coltsfoottray/scheduler/service.py
+++ b/coltsfoottray/scheduler/service.py
@@ -23,9 +23,9 @@
 from coltsfoottray.metrics import Metrics
 from coltsfoottray.peers import CallHandlers, PeerClient
 from coltsfoottray.platform import Put, TableUnavailable, Transaction, WatchedTable
+from coltsfoottray.scheduler.active import ActiveScheduler
 from coltsfoottray.scheduler.advice import Adviser, ask_for_ever
 from coltsfoottray.scheduler.lease import LeaseRow, LeaseWatch
-from coltsfoottray.scheduler.ledger import Deposed
 from coltsfoottray.scheduler.messages import (
     HELLO,
     PING,
@@ -42,9 +42,9 @@
     StateReply,
     Tell,
 )
-from coltsfoottray.scheduler.reign import Reign
-from coltsfoottray.scheduler.restore import read_jobs
-from coltsfoottray.scheduler.sweep import sweep_for_ever
+from coltsfoottray.scheduler.restore import read_stored_state
+from coltsfoottray.scheduler.sweep import run_sweep_loop
+from coltsfoottray.scheduler.writer import LeaseLost
 from coltsfoottray.types import Address, Role
 
 __all__ = ["Scheduler"]
@@ -77,7 +77,7 @@
         holder: ConfigHolder,
         clock: Clock,
         random: Random,
-        keep: timedelta,
+        retention: timedelta,
         metrics: Metrics,
         adviser: Adviser | None = None,
     ) -> None:
@@ -91,18 +91,18 @@
         self._holder = holder
         self._clock = clock
         self._random = random
-        self._keep = keep
+        self._retention = retention
         self._metrics = metrics
         self._adviser = adviser
-        self._reign: Reign | None = None
+        self._active: ActiveScheduler | None = None
         self._is_leaving = False
 
     def add_handlers(self, handlers: CallHandlers) -> None:
         """Answer the calls of attendants and other entries."""
-        handlers.add(PING, self._answer_ping)
-        handlers.add(REPORT, self._answer_report)
-        handlers.add(TELL, self._answer_tell)
-        handlers.add(STATE, self._answer_state)
+        handlers.add(PING, self._handle_ping)
+        handlers.add(REPORT, self._handle_report)
+        handlers.add(TELL, self._handle_tell)
+        handlers.add(STATE, self._handle_state)
 
     async def run(  # noqa: D102
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -110,45 +110,45 @@
         task_status.started()
         await self._mirror.loaded.wait()
         while True:
-            reign = await self._win()
+            active = await self._win()
             try:
-                await self._lead(reign)
-            except* Deposed as group:
+                await self._lead(active)
+            except* LeaseLost as group:
                 reason = str(next(iter(_leaves(group))))
                 log_event("scheduler:deposed", name=self._name, reason=reason)
             finally:
-                self._reign = None
+                self._active = None
 
     async def stop(self) -> None:
         """Hand over: with the row free another entry need not wait."""
         self._is_leaving = True
-        if self._reign is None:
+        if self._active is None:
             return
-        self._reign.resign()
+        self._active.resign()
         with trio.move_on_after(_RESIGN_TIMEOUT.total_seconds()):
-            while self._reign is not None:
+            while self._active is not None:
                 await self._clock.sleep(_RESIGN_POLL)
 
     # For the entry's own callers.
 
-    async def tell_accepted(self, job: AcceptedJob) -> None:
+    async def notify_accepted(self, job: AcceptedJob) -> None:
         """Let the scheduler know of a job that has just been stored."""
-        if self._reign is not None:
-            self._reign.tell_accepted(job)
+        if self._active is not None:
+            self._active.notify_accepted(job)
             return
         await self._tell(Tell(accepted=[job]))
 
-    async def tell_cancelled(self, job: JobId) -> None:
+    async def notify_cancelled(self, job: JobId) -> None:
         """Let the scheduler know of a cancellation that has just been stored."""
-        if self._reign is not None:
-            self._reign.tell_cancelled(job)
+        if self._active is not None:
+            self._active.notify_cancelled(job)
             return
         await self._tell(Tell(cancelled=[job]))
 
-    async def ask_state(self, job: JobId) -> JobState | None:
+    async def query_state(self, job: JobId) -> JobState | None:
         """Return the scheduler's word on a job, none if it cannot be had."""
-        if self._reign is not None:
-            return self._reign.state_of(job)
+        if self._active is not None:
+            return self._active.state_of(job)
         row = self._watch.row
         if row is None or row.is_resigned:
             return None
@@ -163,42 +163,42 @@
 
     def known_pressures(self) -> list[Pressure]:
         """Return how images disturb one another; empty at other entries."""
-        return [] if self._reign is None else self._reign.board.pressures.all()
+        return [] if self._active is None else self._active.cluster.pressures.all()
 
-    def look_again(self) -> None:
+    def replan(self) -> None:
         """Plan anew, since the config has changed."""
-        if self._reign is not None:
-            self._reign.wake()
+        if self._active is not None:
+            self._active.wake()
 
-    def see_cancelled(self, job: JobId) -> None:
+    def observe_cancelled(self, job: JobId) -> None:
         """Take in a cancellation seen in the table."""
-        if self._reign is not None:
-            self._reign.tell_cancelled(job)
+        if self._active is not None:
+            self._active.notify_cancelled(job)
 
-    def see_accepted(self, job: AcceptedJob) -> None:
+    def observe_accepted(self, job: AcceptedJob) -> None:
         """Take in a job seen in the table."""
-        if self._reign is not None:
-            self._reign.tell_accepted(job)
+        if self._active is not None:
+            self._active.notify_accepted(job)
 
     # Taking over.
 
-    async def _win(self) -> Reign:
+    async def _win(self) -> ActiveScheduler:
         """Return once this entry has taken the lease row over."""
         while True:
             if not self._is_leaving and self._holder.current.version:
                 # The row as judged is the one to take over: another entry may
                 # have written it since, and must not be robbed of it unjudged.
                 row, version = self._watch.row, self._watch.version
-                standing = await self._watch.judge()
-                if standing.is_free:
-                    reign = await self._claim(row, version, standing.value)
-                    if reign is not None:
-                        return reign
+                status = await self._watch.check_holder()
+                if status.is_free:
+                    active = await self._claim(row, version, status.value)
+                    if active is not None:
+                        return active
             await self._clock.sleep(_POLL)
 
     async def _claim(
         self, seen: LeaseRow | None, version: int, why: str
-    ) -> Reign | None:
+    ) -> ActiveScheduler | None:
         await self._clock.sleep(
             timedelta(seconds=self._random.uniform(0, _MAX_STAGGER_S))
         )
@@ -225,15 +225,15 @@
             return None
         if isinstance(outcome, Failure):
             for row in outcome.failure().rows:
-                self._watch.see(row.decode(LeaseRow), row.version)
+                self._watch.observe(row.decode(LeaseRow), row.version)
             return None
-        won = outcome.unwrap()[LEASE_KEY]
-        self._watch.see(lease, won)
+        new_version = outcome.unwrap()[LEASE_KEY]
+        self._watch.observe(lease, new_version)
         log_event("scheduler:claimed", epoch=lease.epoch, name=self._name, why=why)
-        return Reign(
+        return ActiveScheduler(
             lease=lease,
-            version=won,
-            won=sent,
+            version=new_version,
+            acquired_at=sent,
             silent_until=silent_until,
             table=self._table,
             peers=self._peers,
@@ -242,32 +242,32 @@
             metrics=self._metrics,
         )
 
-    async def _lead(self, reign: Reign) -> None:
-        self._reign = reign
+    async def _lead(self, active: ActiveScheduler) -> None:
+        self._active = active
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._introduce, reign.lease)
-            reign.load(await read_jobs(self._table, clock=self._clock))
+            nursery.start_soon(self._introduce, active.lease)
+            active.load(await read_stored_state(self._table, clock=self._clock))
             nursery.start_soon(
                 partial(
-                    sweep_for_ever,
-                    reign,
+                    run_sweep_loop,
+                    active,
                     table=self._table,
                     mirror=self._mirror,
                     clock=self._clock,
-                    keep=self._keep,
+                    retention=self._retention,
                 )
             )
             if self._adviser is not None:
                 nursery.start_soon(
                     partial(
                         ask_for_ever,
-                        reign.planner,
+                        active.planner,
                         self._adviser,
                         clock=self._clock,
-                        wake=reign.wake,
+                        wake=active.wake,
                     )
                 )
-            await reign.run()
+            await active.run()
             nursery.cancel_scope.cancel()
 
     async def _introduce(self, lease: LeaseRow) -> None:
@@ -310,27 +310,27 @@
 
     # What others call.
 
-    async def _answer_ping(self, ping: Ping) -> PingReply:
-        epoch = 0 if self._reign is None else self._reign.lease.epoch
+    async def _handle_ping(self, ping: Ping) -> PingReply:
+        epoch = 0 if self._active is None else self._active.lease.epoch
         return PingReply(incarnation=self._incarnation, epoch=epoch)
 
-    async def _answer_report(self, report: Report) -> ReportReply:
-        if self._reign is not None:
-            return self._reign.answer_report(report)
+    async def _handle_report(self, report: Report) -> ReportReply:
+        if self._active is not None:
+            return self._active.handle_report(report)
         row = self._watch.row
         return ReportReply(scheduler=None if row is None else row.address)
 
-    async def _answer_tell(self, tell: Tell) -> Acknowledged:
-        if self._reign is None:
+    async def _handle_tell(self, tell: Tell) -> Acknowledged:
+        if self._active is None:
             return Acknowledged(is_scheduler=False)
         for job in tell.accepted:
-            self._reign.tell_accepted(job)
+            self._active.notify_accepted(job)
         for job_id in tell.cancelled:
-            self._reign.tell_cancelled(job_id)
+            self._active.notify_cancelled(job_id)
         return Acknowledged()
 
-    async def _answer_state(self, query: StateQuery) -> StateReply:
-        state = None if self._reign is None else self._reign.state_of(query.job)
+    async def _handle_state(self, query: StateQuery) -> StateReply:
+        state = None if self._active is None else self._active.state_of(query.job)
         return StateReply(state=state)
 
     async def _tell(self, tell: Tell) -> None:
@@ -344,7 +344,7 @@
             log_event("scheduler:tell-failed", peer=str(row.address), reason=str(error))
 
 
-def _leaves(group: BaseExceptionGroup[Deposed]) -> list[BaseException]:
+def _leaves(group: BaseExceptionGroup[LeaseLost]) -> list[BaseException]:
     leaves: list[BaseException] = []
     for error in group.exceptions:
         leaves += _leaves(error) if isinstance(error, BaseExceptionGroup) else [error]
--- a/coltsfoottray/scheduler/sweep.py
+++ b/coltsfoottray/scheduler/sweep.py
@@ -16,9 +16,9 @@
 from coltsfoottray.jobs.model import JobId
 from coltsfoottray.logs import log_event
 from coltsfoottray.platform import Put, TableUnavailable, Transaction, WatchedTable
-from coltsfoottray.scheduler.reign import Reign
+from coltsfoottray.scheduler.active import ActiveScheduler
 
-__all__ = ["sweep_for_ever"]
+__all__ = ["run_sweep_loop"]
 
 _PERIOD = timedelta(seconds=5)
 # At the size designed for 9,400 jobs end a day, one in nine seconds; a backlog of a
@@ -26,17 +26,22 @@
 _MAX_JOBS = 20
 
 
-async def sweep_for_ever(
-    reign: Reign, *, table: WatchedTable, mirror: Mirror, clock: Clock, keep: timedelta
+async def run_sweep_loop(
+    active: ActiveScheduler,
+    *,
+    table: WatchedTable,
+    mirror: Mirror,
+    clock: Clock,
+    retention: timedelta,
 ) -> None:
-    """Remove what is older than `keep`, every few seconds."""
+    """Remove what is older than `retention`, every few seconds."""
     while True:
         await clock.sleep(_PERIOD)
-        oldest = as_milliseconds(clock.now() - keep)
-        for job in reign.ended_before(oldest)[:_MAX_JOBS]:
+        oldest = as_milliseconds(clock.now() - retention)
+        for job in active.jobs_ended_before(oldest)[:_MAX_JOBS]:
             try:
                 if await _remove_acceptance(job, table, mirror):
-                    reign.forget(job)
+                    active.forget(job)
             except TableUnavailable as error:
                 log_event("sweep:put-off", job=job, reason=str(error))
                 break
--- a/coltsfoottray/scheduler/ledger.py
+++ b/coltsfoottray/scheduler/writer.py
@@ -22,10 +22,10 @@
 )
 from coltsfoottray.platform.settle import commit_settled
 from coltsfoottray.scheduler.grants import Grants
-from coltsfoottray.scheduler.lease import RENEWAL, LeaseRow
+from coltsfoottray.scheduler.lease import RENEWAL_INTERVAL, LeaseRow
 from coltsfoottray.scheduler.live import LiveJob
 
-__all__ = ["Deposed", "Ledger"]
+__all__ = ["LeaseLost", "StateWriter"]
 
 _RETRY = timedelta(milliseconds=100)
 
@@ -45,11 +45,11 @@
 _MAX_PRESSURES = 400
 
 
-class Deposed(ColtsfoottrayError):
+class LeaseLost(ColtsfoottrayError):
     """Another entry has taken over."""
 
 
-class Ledger:
+class StateWriter:
     """Writes what the scheduler decides, for as long as the lease row is its own.
 
     Parameters
@@ -67,7 +67,7 @@
         *,
         lease: LeaseRow,
         version: int,
-        won: timedelta,
+        acquired_at: timedelta,
         grants: Grants,
         table: WatchedTable,
         clock: Clock,
@@ -75,16 +75,16 @@
         self.lease = lease
         # When the last write of ours that succeeded was sent, and the last one that
         # renewed the lease row, by which the others judge.
-        self.confirmed = won
-        self.renewed = won
+        self.confirmed_at = acquired_at
+        self.renewed_at = acquired_at
         self._version = version
         self._grants = grants
         self._table = table
         self._clock = clock
         # Rows to be deleted with a next commit, by their versions.
         self._garbage: dict[str, int] = {}
-        self._checkpoints_stored = won
-        self._pressures_looked_at = won
+        self._checkpoints_stored = acquired_at
+        self._pressures_looked_at = acquired_at
         self._pressures_version = 0
         self._pressures: list[Pressure] = []
 
@@ -141,7 +141,7 @@
         now = self._clock.elapsed()
         if saved and now - self._checkpoints_stored >= _CHECKPOINT_PERIOD:
             self._checkpoints_stored = now
-            saved.sort(key=lambda job: job.stored)
+            saved.sort(key=lambda job: job.stored_at)
             dirty += saved[:_ROWS_PER_COMMIT]
         return dirty
 
@@ -180,15 +180,15 @@
         else:
             checks.append(Check(key=LEASE_KEY, version=self._version))
         versions = await self._commit_surely(Transaction(puts=puts, checks=checks))
-        self.confirmed = sent
+        self.confirmed_at = sent
         self._version = versions.get(LEASE_KEY, self._version)
         self._pressures_version = versions.get(PRESSURES_KEY, self._pressures_version)
         if renews:
-            self.renewed = sent
+            self.renewed_at = sent
             self._grants.unlist(self.lease.silent_ms)
         for job in jobs:
             summary_version = versions.get(summary_key(job.id), job.summary_version)
-            job.note_stored(versions[record_key(job.id)], summary_version, sent)
+            job.mark_stored(versions[record_key(job.id)], summary_version, sent)
 
     async def _commit_surely(self, transaction: Transaction) -> dict[str, int]:
         while True:
@@ -202,15 +202,15 @@
                 continue
             if isinstance(outcome, Failure):
                 rows = [row.key for row in outcome.failure().rows]
-                raise Deposed(
+                raise LeaseLost(
                     f"epoch {self.lease.epoch}: {len(rows)} rows changed, "
                     f"the first is {rows[:1]}"
                 )
             return outcome.unwrap()
 
     def _is_renewal_due(self) -> bool:
-        is_old = self._clock.elapsed() - self.renewed >= RENEWAL
-        return is_old or self._grants.has_returned()
+        is_old = self._clock.elapsed() - self.renewed_at >= RENEWAL_INTERVAL
+        return is_old or self._grants.has_recovered_worker()
 
 
 def _batches(jobs: list[LiveJob]) -> list[list[LiveJob]]:
--- a/properties/configs.py
+++ b/properties/configs.py
@@ -94,7 +94,7 @@
         """An entry dies and starts anew, knowing no config."""
         self.world.kill_daemon(entry)
         self.world.resume(entry)
-        self.world.start_again(entry)
+        self.world.restart_daemon(entry)
 
     @rule(is_down=st.booleans())
     def store(self, is_down: bool) -> None:
--- a/properties/jobs.py
+++ b/properties/jobs.py
@@ -129,7 +129,7 @@
             return
         self.world.kill_daemon(process)
         self.world.resume(process)
-        self.world.start_again(process)
+        self.world.restart_daemon(process)
 
     @rule(process=PROCESSES)
     def pause(self, process: str) -> None:
--- a/properties/planted.py
+++ b/properties/planted.py
@@ -16,10 +16,10 @@
 from coltsfoottray.leases import LeaseObserver
 from coltsfoottray.lists import Edit, ListEditor, apply_change
 from coltsfoottray.lists.editor import read_head
+from coltsfoottray.scheduler.active import ActiveScheduler
 from coltsfoottray.scheduler.fleet import Worker
 from coltsfoottray.scheduler.grants import Grants
 from coltsfoottray.scheduler.messages import Report, ReportReply
-from coltsfoottray.scheduler.reign import Reign
 from coltsfoottray.tasks import StoredTask, TaskStore
 from coltsfoottray.types import ListVersion, TaskState
 from coltsfoottray.upstream import ExecutionLedger
@@ -137,8 +137,8 @@
     """Let the scheduler give a silent worker's runs up before its lease has ended."""
     grant = Grants.grant
 
-    def grant_and_forget(self: Grants, worker: Worker, confirmed: timedelta) -> int:
-        granted = grant(self, worker, confirmed)
+    def grant_and_forget(self: Grants, worker: Worker, confirmed_at: timedelta) -> int:
+        granted = grant(self, worker, confirmed_at)
         worker.lease_end = self._clock.elapsed() + timedelta(seconds=1.5)
         return granted
 
@@ -149,9 +149,9 @@
 @contextmanager
 def leases_renewed_out_of_reach() -> Iterator[None]:
     """Let an attendant's word prolong the lease of a worker that it does not reach."""
-    answer = Reign.answer_report
+    answer = ActiveScheduler.handle_report
 
-    def answer_and_prolong(self: Reign, report: Report) -> ReportReply:
+    def answer_and_prolong(self: ActiveScheduler, report: Report) -> ReportReply:
         reply = answer(self, report)
         if not report.is_reachable or not report.life:
             worker = self._fleet.worker_by_id[report.worker]
@@ -159,7 +159,7 @@
             worker.lease_end = max(worker.lease_end, lease_end)
         return reply
 
-    with mock.patch.object(Reign, "answer_report", answer_and_prolong):
+    with mock.patch.object(ActiveScheduler, "handle_report", answer_and_prolong):
         yield
 
 
--- a/tests/steps/job_fault_steps.py
+++ b/tests/steps/job_fault_steps.py
@@ -47,7 +47,7 @@
         context.world.kill_daemon(name)
     context.world.advance(1)
     for name in names:
-        context.world.start_again(name)
+        context.world.restart_daemon(name)
 
 
 @when(
@@ -61,7 +61,7 @@
     world.fabric.cut |= dark
     bring_worker_back(world, name)
     for entry in world.cell.entry_by_name:
-        world.start_again(entry)
+        world.restart_daemon(entry)
     world.advance(milliseconds / 1000)
     world.fabric.cut -= dark
 
@@ -76,7 +76,7 @@
     lose_all_power(world)
     bring_worker_back(world, name)
     for entry in world.cell.entry_by_name:
-        world.start_again(entry)
+        world.restart_daemon(entry)
     world.wait_until(
         lambda: world.cell.rows.value_of("state", "scheduler", "lease") != before
     )
@@ -95,7 +95,7 @@
 
 
 def bring_worker_back(world, name):
-    world.start_again(name)
+    world.restart_daemon(name)
     world.run(world.cell.worker_by_name[name].report)
 
 
@@ -103,7 +103,7 @@
 def restart(context, name, seconds):
     context.world.kill_daemon(name)
     context.world.advance(seconds)
-    context.world.start_again(name)
+    context.world.restart_daemon(name)
 
 
 @when("what runs on {name} ends right after its new attendant's first look")
@@ -240,7 +240,7 @@
         name = context.world.cell.scheduler()
         context.world.kill_daemon(name)
         context.world.advance(seconds)
-        context.world.start_again(name)
+        context.world.restart_daemon(name)
 
 
 @step("{name}'s machine drains")
--- a/tests/steps/lost_steps.py
+++ b/tests/steps/lost_steps.py
@@ -112,7 +112,7 @@
     worker = world.cell.worker_by_name[name]
     worker.sends_heartbeats = False
     world.kill_daemon(name)
-    world.start_again(name)
+    world.restart_daemon(name)
     world.advance(0.5)
     (run,) = worker.run_by_task.values()
     world.wait_until(lambda: run.done_s > run.work_s - 0.06, step_s=0.005)
--- a/tests/support/job_world.py
+++ b/tests/support/job_world.py
@@ -98,7 +98,7 @@
 
         self.run(kill)
 
-    def start_again(self, name: str) -> None:
+    def restart_daemon(self, name: str) -> None:
         """Start a killed daemon anew."""
 
         async def start() -> None:
