--- a/coltsfoottray/jobs/api.py
+++ b/coltsfoottray/jobs/api.py
@@ -1,8 +1,9 @@
-"""Jobs handed in, cancelled and asked for, at any entry.
+"""Submission, cancellation and state of jobs, at any entry.
 
-The table alone decides: a job is accepted once its row stands, under the id that
-its caller chose, so that a repeat at another entry finds it. An answer that was
-lost leaves open whether the row stands; then nothing is refused that might run.
+The table is authoritative: a job is accepted once its row is stored under the id that
+the caller chose, so that a retry at another entry finds it. If the table's answer is
+lost, the row may or may not be stored; the job is then not reported as refused,
+because it might still run.
 """
 
 from __future__ import annotations
@@ -28,33 +29,34 @@
 
 __all__ = ["JobAnswer", "JobApi", "Verdict"]
 
-# The table's refusals pass in a fraction of a second, its outages take seconds.
-_RETRY = timedelta(milliseconds=100)
-_RETRY_FOR = timedelta(milliseconds=300)
+# A refusal by the table clears within a fraction of a second; an outage lasts seconds.
+_RETRY_INTERVAL = timedelta(milliseconds=100)
+_MAX_RETRY_TIME = timedelta(milliseconds=300)
 
-# What is left of a caller's deadline for the answer's way back; of a short one half.
+# Part of a caller's deadline that is reserved for returning the answer. Of a short
+# deadline, half is reserved.
 _ANSWER_MARGIN = timedelta(milliseconds=250)
 
-# A table that has not answered for so long is taken to be down: longer than a
-# connection that broke takes to be replaced. An outage lasts seconds, and whoever is
-# held meanwhile could have been told when to come back.
-_LOST = timedelta(milliseconds=600)
+# The table counts as down once it has not answered for this long, which is more than
+# it takes to replace a broken connection. An outage lasts seconds; a caller that is
+# kept waiting could instead be told when to retry.
+_TABLE_DOWN_AFTER = timedelta(milliseconds=600)
 
-# Jobs of which it is open whether they are stored; each is asked for again within a
-# caller's deadline of 3 s, at a few a second while the table is down.
-_MAX_OPEN = 1000
+# Bound on the jobs that may or may not be stored. A caller retries each within its
+# deadline of 3 s, and a few per second become uncertain while the table is down.
+_MAX_UNCERTAIN = 1000
 
-# An outage seen so far lasts some seconds more; a caller that comes back after
-# one finds it over or is told so again at once.
-_COME_BACK = timedelta(seconds=1)
+# An outage lasts several seconds. A caller that retries after one second either
+# succeeds or is refused again without delay.
+_RETRY_AFTER = timedelta(seconds=1)
 
 
 class Verdict(enum.Enum):
-    """What became of a call about a job."""
+    """Outcome of a call about a job."""
 
     DONE = "done"
     NOT_DONE = "not-done"
-    """Certainly nothing was and will be done; the caller may come back."""
+    """The call had no effect and will have none; the caller may retry."""
     UNKNOWN = "unknown"
     NO_JOB = "no-job"
 
@@ -66,7 +68,7 @@
     Parameters
     ----------
     come_back : timedelta, optional
-        Where nothing was done: when to try again.
+        When to retry; only with `Verdict.NOT_DONE`.
     """
 
     verdict: Verdict
@@ -75,13 +77,13 @@
 
 
 _DONE = JobAnswer(verdict=Verdict.DONE)
-_NOT_DONE = JobAnswer(verdict=Verdict.NOT_DONE, retry_after=_COME_BACK)
+_NOT_DONE = JobAnswer(verdict=Verdict.NOT_DONE, retry_after=_RETRY_AFTER)
 _UNKNOWN = JobAnswer(verdict=Verdict.UNKNOWN)
 _NO_JOB = JobAnswer(verdict=Verdict.NO_JOB)
 
 
 class JobApi:
-    """Answers callers from the table, the view of it and the scheduler."""
+    """Answers callers from the table, the view of its rows and the scheduler."""
 
     def __init__(
         self,
@@ -99,13 +101,13 @@
         self._scheduler = scheduler
         self._clock = clock
         self._metrics = metrics
-        self._open: dict[JobId, None] = {}
+        self._uncertain_jobs: dict[JobId, None] = {}
 
     async def submit(
         self, queue: Queue, job_id: JobId, spec: JobSpec, *, deadline: timedelta
     ) -> JobAnswer:
-        """Accept a job, once however often it comes."""
-        begun = self._clock.elapsed()
+        """Accept a job; submitting it again has no further effect."""
+        started = self._clock.elapsed()
         if job_id in self._view.job_by_id:
             return _DONE
         job = AcceptedJob(
@@ -127,36 +129,37 @@
             table_age_s=self._mirror.age_s(),
         )
         self._metrics.time(
-            "submit", self._clock.elapsed() - begun, verdict=answer.verdict.value
+            "submit", self._clock.elapsed() - started, verdict=answer.verdict.value
         )
         if answer.verdict is Verdict.DONE:
             self._view.job_by_id.setdefault(job_id, job)
         return answer
 
     def _apply_earlier_outcome(self, job_id: JobId, answer: JobAnswer) -> JobAnswer:
-        """Return what can be said of a job, given what was said of it before.
+        """Return the answer to a submission, given the outcome of earlier ones.
 
-        The write of an earlier attempt may have taken effect, or may still. That the
-        job will never run would then be wrong, although this attempt wrote nothing.
+        The write of an earlier attempt may have taken effect, or may do so later. It
+        would then be wrong to answer that the job never runs, although this attempt
+        wrote nothing.
         """
         if answer.verdict is Verdict.UNKNOWN:
-            self._open[job_id] = None
-            if len(self._open) > _MAX_OPEN:
-                del self._open[next(iter(self._open))]
+            self._uncertain_jobs[job_id] = None
+            if len(self._uncertain_jobs) > _MAX_UNCERTAIN:
+                del self._uncertain_jobs[next(iter(self._uncertain_jobs))]
         elif answer.verdict is Verdict.DONE:
-            self._open.pop(job_id, None)
-        elif job_id in self._open:
+            self._uncertain_jobs.pop(job_id, None)
+        elif job_id in self._uncertain_jobs:
             return _UNKNOWN
         return answer
 
     async def notify_scheduler(self, job_id: JobId) -> None:
-        """Let the scheduler know of a job accepted here."""
+        """Notify the scheduler of a job that was accepted here."""
         job = self._view.job_by_id.get(job_id)
         if job is not None:
             await self._scheduler.tell_accepted(job)
 
     async def cancel(self, job_id: JobId, *, deadline: timedelta) -> JobAnswer:
-        """Cancel a job; one that has ended stays as it is."""
+        """Cancel a job; the state of one that has ended does not change."""
         try:
             if not await self._exists(job_id):
                 return _NO_JOB
@@ -172,7 +175,7 @@
         return answer
 
     async def state(self, job_id: JobId) -> JobAnswer:
-        """Return a job's state; that there is none is said only with proof."""
+        """Return a job's state, `Verdict.NO_JOB` only if the table holds no such job."""
         try:
             if not await self._exists(job_id):
                 return _NO_JOB
@@ -181,13 +184,13 @@
             return _NOT_DONE
         state = self._view.state_of(job_id)
         if not state.is_final:
-            # The view is a little old; an end is worth asking for.
+            # The view lags behind the table; the job may have ended since.
             newer = await self._scheduler.ask_state(job_id)
             state = newer or state
         return JobAnswer(verdict=Verdict.DONE, state=state)
 
     def pending(self, queue: Queue) -> int:
-        """Count the jobs of a queue of which no task has been started."""
+        """Return the number of the queue's jobs of which no task has started."""
         return self._view.pending(queue.name)
 
     async def _exists(self, job_id: JobId) -> bool:
@@ -200,18 +203,18 @@
         return True
 
     async def _write(self, transaction: Transaction, deadline: timedelta) -> JobAnswer:
-        """Write a row that says the same whoever writes it.
+        """Write a row whose content does not depend on the writer.
 
-        A conflict therefore means that it stands already. Sent again after a lost
-        answer it can take effect once at most.
+        A conflict therefore means that the row is stored already. A write that is sent
+        again after a lost answer takes effect at most once.
         """
         started = self._clock.elapsed()
         is_uncertain = False
         is_attempted = False
-        left = max(deadline - _ANSWER_MARGIN, deadline / 2)
-        if self._mirror.failing_for() > _LOST:
+        time_left = max(deadline - _ANSWER_MARGIN, deadline / 2)
+        if self._mirror.failing_for() > _TABLE_DOWN_AFTER:
             return _NOT_DONE
-        with trio.move_on_after(left.total_seconds()):
+        with trio.move_on_after(time_left.total_seconds()):
             while True:
                 is_attempted = True
                 try:
@@ -224,10 +227,10 @@
                     is_attempted = False
                     log_event("jobs:write-failed", reason=str(error))
                 waited = self._clock.elapsed() - started
-                if not is_uncertain and waited > _RETRY_FOR:
+                if not is_uncertain and waited > _MAX_RETRY_TIME:
                     return _NOT_DONE
-                if self._mirror.failing_for() > _LOST:
+                if self._mirror.failing_for() > _TABLE_DOWN_AFTER:
                     return _UNKNOWN
-                await self._clock.sleep(_RETRY)
-        # A write cut off in the middle may take effect.
+                await self._clock.sleep(_RETRY_INTERVAL)
+        # A write that was interrupted by the deadline may still take effect.
         return _UNKNOWN if is_uncertain or is_attempted else _NOT_DONE
