--- a/coltsfoottray/jobs/api.py
+++ b/coltsfoottray/jobs/api.py
@@ -175,7 +175,7 @@
         return answer
 
     async def state(self, job_id: JobId) -> JobAnswer:
-        """Return a job's state, `Verdict.NO_JOB` only if the table holds no such job."""
+        """Return a job's state; `NO_JOB` requires an answer from the table."""
         try:
             if not await self._exists(job_id):
                 return _NO_JOB
--- a/coltsfoottray/jobs/members.py
+++ b/coltsfoottray/jobs/members.py
@@ -1,4 +1,4 @@
-"""Where daemons are reached by one another: a row each."""
+"""The directory of daemons and their peer addresses, one row per daemon."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 __all__ = ["MemberDirectory", "MemberRow", "Registration", "read_members"]
 
-_RETRY = timedelta(milliseconds=500)
-# Members come and go with VMs, some 50 a day at the size designed for; one that is
-# not known yet is merely not asked for help.
-_READ_AGAIN = timedelta(seconds=10)
+_RETRY_INTERVAL = timedelta(milliseconds=500)
+# Members join and leave with their VMs, about 50 a day at the design size. A member
+# that is not known yet is only not asked for help.
+_REFRESH_INTERVAL = timedelta(seconds=10)
 
 
 class MemberRow(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a daemon is reached by its peers."""
+    """A daemon and the address at which its peers reach it."""
 
     name: str
     role: Role
@@ -33,14 +33,14 @@
 
 
 class MemberDirectory:
-    """The members as last read.
+    """The members as last read from the table.
 
     Parameters
     ----------
     own : Address
         This daemon's peer address.
     seeds : list of Address
-        Peer addresses that stand in until the table has been read.
+        Peer addresses of entries to use until the table has been read.
     """
 
     def __init__(self, *, own: Address, seeds: list[Address]) -> None:
@@ -49,7 +49,7 @@
         self._members: list[MemberRow] = []
 
     def update(self, members: list[MemberRow]) -> None:
-        """Replace what is known."""
+        """Replace the known members."""
         self._members = members
 
     def entries(self) -> list[Address]:
@@ -59,7 +59,7 @@
 
 
 class Registration(Service):
-    """Writes the daemon's row among the members and keeps the others' known."""
+    """Writes the daemon's member row and refreshes the directory periodically."""
 
     def __init__(
         self,
@@ -79,16 +79,16 @@
     ) -> None:
         task_status.started()
         while not await self._write():
-            await self._clock.sleep(_RETRY)
+            await self._clock.sleep(_RETRY_INTERVAL)
         while True:
             try:
                 self._directory.update(await read_members(self._table))
             except TableUnavailable as error:
                 log_event("members:unread", reason=str(error))
-            await self._clock.sleep(_READ_AGAIN)
+            await self._clock.sleep(_REFRESH_INTERVAL)
 
     async def _write(self) -> bool:
-        """Write the row unless it stands; return whether it does."""
+        """Write the row; return whether it was stored."""
         key = member_key(self._member.name)
         try:
             row = await self._table.get(key)
@@ -102,7 +102,13 @@
 
 
 async def read_members(table: WatchedTable) -> list[MemberRow]:
-    """Return the members that the table names, raising `TableUnavailable`."""
+    """Return the members stored in the table.
+
+    Raises
+    ------
+    TableUnavailable
+        If the table did not answer.
+    """
     members = []
     for row in await table.scan(f"{MEMBERS_GROUP}//"):
         try:
--- a/coltsfoottray/jobs/mirror.py
+++ b/coltsfoottray/jobs/mirror.py
@@ -1,4 +1,4 @@
-"""A copy of one group of rows in memory, kept up by the table's changes."""
+"""An in-memory copy of one group of rows that follows the table's changes."""
 
 from __future__ import annotations
 
@@ -17,22 +17,24 @@
 __all__ = ["Mirror"]
 
 # How long the table holds a request for changes when there are none. A process
-# learns within it, and its timeout, that its way to the table is gone.
-_WAIT = timedelta(seconds=1)
-_RETRY = timedelta(milliseconds=200)
+# detects within this time, plus the call's timeout, that it cannot reach the table.
+_CHANGES_WAIT = timedelta(seconds=1)
+_RETRY_INTERVAL = timedelta(milliseconds=200)
 _NULL = msgspec.Raw(b"null")
 
 
 class Mirror(Service):
-    """Calls `on_row` for each row and each change, in the order of versions.
+    """Follows a group and calls `on_row` for each row and change, in version order.
 
     Parameters
     ----------
     prefixes : list of str
-        The shards of the group, for the first read.
+        Prefixes of the group's shards, for the first read.
+    on_row : callable
+        Receives each new version of a row, or its deletion.
     pause : timedelta
-        Between two requests for changes: each is a priced call, and what comes
-        in between travels together.
+        Time between two requests for changes. Each request is billed, and changes
+        made in the meantime arrive in one answer.
     """
 
     def __init__(
@@ -60,17 +62,17 @@
         self._failing_since: timedelta | None = None
 
     def version_of(self, key: str) -> int:
-        """Return a row's version as last seen, 0 if there is none."""
+        """Return the version of a row in the copy, 0 if the copy has no such row."""
         return self._version_by_key.get(key, 0)
 
     def age(self) -> timedelta:
-        """Return how old the copy may be."""
+        """Return an upper bound on the age of the copy."""
         if self.as_of is None:
             return timedelta(days=1)
         return self._clock.elapsed() - self.as_of
 
     def failing_for(self) -> timedelta:
-        """Return for how long the table has not answered, 0 while it does."""
+        """Return how long the table has been unavailable, 0 while it answers."""
         if self._failing_since is None:
             return timedelta(0)
         return self._clock.elapsed() - self._failing_since
@@ -92,24 +94,24 @@
             except HistoryLost as error:
                 log_event("mirror:history-lost", group=self._group, reason=str(error))
             except TableUnavailable as error:
-                self._note_failure(error)
-                await self._clock.sleep(_RETRY)
+                self._record_failure(error)
+                await self._clock.sleep(_RETRY_INTERVAL)
 
     async def _load(self) -> None:
-        """Read every row, unless the changes since the last one are there."""
+        """Read every row, unless the changes since the copy's version are available."""
         if self.loaded.is_set() and await self._can_resume():
             return
-        asked = self._clock.elapsed()
+        requested_at = self._clock.elapsed()
         snapshots = [await self._table.snapshot(each) for each in self._prefixes]
-        found = {row.key: row for each in snapshots for row in each.rows}
-        for key in [key for key in self._version_by_key if key not in found]:
-            # Deleted while nobody told: the version is only known to be newer.
+        row_by_key = {row.key: row for each in snapshots for row in each.rows}
+        for key in [key for key in self._version_by_key if key not in row_by_key]:
+            # The deletion was not observed. Its version is unknown, but is newer.
             version = self._version_by_key[key] + 1
-            self._take(Row(key=key, value=_NULL, version=version, is_deleted=True))
-        for row in sorted(found.values(), key=lambda row: row.version):
-            self._take(row)
+            self._apply(Row(key=key, value=_NULL, version=version, is_deleted=True))
+        for row in sorted(row_by_key.values(), key=lambda row: row.version):
+            self._apply(row)
         self._version = min(each.version for each in snapshots)
-        self._note_success(asked)
+        self._record_success(requested_at)
         self.loaded.set()
 
     async def _can_resume(self) -> bool:
@@ -119,15 +121,15 @@
             return False
         return True
 
-    async def _follow(self, wait: timedelta = _WAIT) -> None:
-        asked = self._clock.elapsed()
+    async def _follow(self, wait: timedelta = _CHANGES_WAIT) -> None:
+        requested_at = self._clock.elapsed()
         changes = await self._table.changes(self._group, after=self._version, wait=wait)
         for row in changes.rows:
-            self._take(row)
+            self._apply(row)
         self._version = changes.version
-        self._note_success(asked)
+        self._record_success(requested_at)
 
-    def _take(self, row: Row) -> None:
+    def _apply(self, row: Row) -> None:
         if self._version_by_key.get(row.key, 0) >= row.version:
             return
         if row.is_deleted:
@@ -136,18 +138,18 @@
             self._version_by_key[row.key] = row.version
         self._on_row(row)
 
-    def _note_success(self, asked: timedelta) -> None:
-        self.as_of = asked
-        self._note_age()
+    def _record_success(self, requested_at: timedelta) -> None:
+        self.as_of = requested_at
+        self._record_age()
         if self._failing_since is not None:
             self._failing_since = None
             log_event("table:regained", group=self._group, version=self._version)
 
-    def _note_age(self) -> None:
+    def _record_age(self) -> None:
         self._metrics.gauge("copy_age_seconds", self.age_s(), group=self._group)
 
-    def _note_failure(self, error: TableUnavailable) -> None:
-        self._note_age()
+    def _record_failure(self, error: TableUnavailable) -> None:
+        self._record_age()
         if self._failing_since is None:
             self._failing_since = self._clock.elapsed()
             log_event("table:lost", group=self._group, reason=str(error))
--- a/coltsfoottray/jobs/view.py
+++ b/coltsfoottray/jobs/view.py
@@ -1,4 +1,4 @@
-"""What an entry knows of all jobs, from the rows as it has seen them."""
+"""An entry's view of all jobs, built from the rows that it has received."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 __all__ = ["JobsView"]
 
 
-_NOT_BEGUN = JobSummary()
+_NOT_STARTED = JobSummary()
 
 
 class JobsView:
-    """Accepted jobs, their states and cancellations; states may be a little old."""
+    """Accepted jobs, their states and cancellations; may lag behind the table."""
 
     def __init__(self) -> None:
         self.job_by_id: dict[JobId, AcceptedJob] = {}
@@ -25,16 +25,16 @@
         self._summary_by_id: dict[JobId, JobSummary] = {}
 
     def apply(self, row: Row) -> None:
-        """Take in a row or its deletion."""
+        """Apply a row or its deletion to the view."""
         if row.key == LEASE_KEY or "." not in row.key.rsplit("/", 1)[1]:
             return
         job_id = job_of(row.key)
         try:
-            self._take(row, job_id)
+            self._apply(row, job_id)
         except msgspec.DecodeError as error:
             log_event("jobs:row-unreadable", key=row.key, reason=str(error))
 
-    def _take(self, row: Row, job_id: JobId) -> None:
+    def _apply(self, row: Row, job_id: JobId) -> None:
         if is_scheduler_key(row.key):
             if row.is_deleted:
                 self._summary_by_id.pop(job_id, None)
@@ -51,17 +51,17 @@
             self.job_by_id[job_id] = row.decode(AcceptedJob)
 
     def state_of(self, job_id: JobId) -> JobState:
-        """Return the state of a job that was accepted."""
-        state = self._summary_by_id.get(job_id, _NOT_BEGUN).state
+        """Return the state of an accepted job."""
+        state = self._summary_by_id.get(job_id, _NOT_STARTED).state
         if job_id in self.cancelled and not state.is_final:
             return JobState.CANCELLED
         return state
 
     def pending(self, queue: str) -> int:
-        """Count the jobs of a queue of which no task has been started."""
+        """Return the number of the queue's jobs of which no task has started."""
         return sum(
             job.queue == queue
             and job.id not in self.cancelled
-            and not self._summary_by_id.get(job.id, _NOT_BEGUN).has_started
+            and not self._summary_by_id.get(job.id, _NOT_STARTED).has_started
             for job in self.job_by_id.values()
         )
