--- a/coltsfoottray/jobs/__init__.py
+++ b/coltsfoottray/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs: what callers hand in, the queues they go to, and the rows that last."""
+"""Jobs: their specifications, the queues that accept them and their stored rows."""
 
 from __future__ import annotations
 
--- a/coltsfoottray/jobs/config.py
+++ b/coltsfoottray/jobs/config.py
@@ -1,4 +1,4 @@
-"""The queues and services in force, as last set by the operator."""
+"""The configuration of queues and services, as last set by the operator."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Queue(msgspec.Struct, frozen=True, kw_only=True):
-    """Where callers hand jobs in, and on which terms.
+    """Where callers submit jobs, and the terms under which the jobs run.
 
     Parameters
     ----------
     host, path_prefix : str
-        Select the queue; of several prefixes the longest counts.
+        Select the queue of a request; the longest matching prefix wins.
     timeout_ms : float
-        A request to the queue is answered within it.
+        Upper bound on the time to answer a request to the queue, in milliseconds.
     """
 
     name: str
@@ -33,9 +33,9 @@
     Parameters
     ----------
     rejects_overload : bool
-        Its workers refuse what does not fit by themselves.
+        Whether its workers themselves refuse tasks that do not fit.
     is_standby : bool
-        Its VMs are switched off.
+        Whether its VMs are switched off.
     """
 
     name: str
@@ -44,36 +44,36 @@
 
 
 class SiteConfig(msgspec.Struct, frozen=True, kw_only=True):
-    """One version of the whole config."""
+    """One version of the complete config."""
 
     version: int
     queues: list[Queue]
     services: list[ServiceTerms] = msgspec.field(default_factory=list)
 
     def find_queue(self, host: str, path: str) -> Queue | None:
-        """Return the queue of the longest prefix of `path` at `host`."""
-        found: Queue | None = None
+        """Return the queue at `host` whose prefix of `path` is longest, or None."""
+        longest: Queue | None = None
         for queue in self.queues:
             if queue.host != host or not path.startswith(queue.path_prefix):
                 continue
-            if found is None or len(queue.path_prefix) > len(found.path_prefix):
-                found = queue
-        return found
+            if longest is None or len(queue.path_prefix) > len(longest.path_prefix):
+                longest = queue
+        return longest
 
 
 NO_CONFIG = SiteConfig(version=0, queues=[])
-"""Stands until the first version has been read."""
+"""The config in force until the first version has been read."""
 
 
 class ConfigHolder:
-    """Holds the newest version seen; an older one never replaces it."""
+    """Holds the newest config received."""
 
     def __init__(self) -> None:
         self.current = NO_CONFIG
         self.terms_by_queue: dict[str, QueueTerms] = {}
 
     def replace_if_newer(self, config: SiteConfig) -> bool:
-        """Take `config` if it is newer; return whether it was."""
+        """Replace the current config if `config` is newer; return whether it was."""
         if config.version <= self.current.version:
             return False
         self.current = config
@@ -81,5 +81,5 @@
         return True
 
     def terms_of(self, queue: str, *, default: QueueTerms) -> QueueTerms:
-        """Return a queue's present terms, or `default` once it is gone."""
+        """Return a queue's current terms, or `default` if the queue was removed."""
         return self.terms_by_queue.get(queue, default)
--- a/coltsfoottray/jobs/keys.py
+++ b/coltsfoottray/jobs/keys.py
@@ -1,9 +1,9 @@
-"""Keys of the rows that last: `group/shard/name`.
+"""Keys of the rows in the table: `group/shard/name`.
 
 Rows of one shard can be written in one transaction. Acceptances and cancellations
-are spread over shards by job id, so that a burst of them does not queue behind
-the scheduler's writes; the scheduler's rows are in one shard of their own,
-where its lease row guards each of its writes.
+are distributed over shards by job id, so that a burst of them does not queue behind
+the scheduler's writes. The scheduler's rows are in a shard of their own, together
+with its lease row, which is a condition of each of its writes.
 """
 
 from __future__ import annotations
@@ -30,16 +30,17 @@
     "summary_key",
 ]
 
-# Every entry follows this group, also over links of 5 Mbit/s: 0.6 MB a second for all.
+# Every entry follows this group, some over links of 5 Mbit/s, which carry 0.6 MB/s in
+# total.
 JOBS_GROUP = "state"
-# What only the scheduler reads, and only when it begins: at 160 starts a second it is
-# more than such a link carries.
+# Read only by the scheduler, when it starts. At 160 task starts per second, these rows
+# exceed the capacity of a 5 Mbit/s link.
 _RECORDS_GROUP = "progress"
 OPERATOR_GROUP = "op"
 MEMBERS_GROUP = "members"
 
-# At 8 ms a transaction a shard takes 125 a second, each with up to 100 rows;
-# 8 of them are far above the acceptances of the size designed for.
+# At 8 ms per transaction, a shard takes 125 transactions per second with up to 100 rows
+# each. 8 shards are far more than the design size needs for its acceptances.
 _JOB_SHARDS = 8
 
 CONFIG_KEY = f"{OPERATOR_GROUP}//config"
@@ -49,43 +50,43 @@
 
 
 def accepted_key(job: JobId) -> str:
-    """Return the key of a job's acceptance."""
+    """Return the key of the row that accepts a job."""
     return f"{JOBS_GROUP}/{_shard(job)}/job.{job}"
 
 
 def cancel_key(job: JobId) -> str:
-    """Return the key of a job's cancellation."""
+    """Return the key of the row that cancels a job."""
     return f"{JOBS_GROUP}/{_shard(job)}/cancel.{job}"
 
 
 def record_key(job: JobId) -> str:
-    """Return the key of a job's progress, task by task."""
+    """Return the key of a job's record, which holds the progress of each task."""
     return f"{RECORDS_PREFIX}job.{job}"
 
 
 def summary_key(job: JobId) -> str:
-    """Return the key of what callers may ask of a job's progress."""
+    """Return the key of a job's summary, which holds what callers can query."""
     return f"{JOBS_GROUP}/scheduler/job.{job}"
 
 
 def member_key(name: str) -> str:
-    """Return the key under which a daemon tells its peer address."""
+    """Return the key of the row that holds a daemon's peer address."""
     return f"{MEMBERS_GROUP}//{name}"
 
 
 def is_scheduler_key(key: str) -> bool:
-    """Whether the scheduler alone writes the row."""
+    """Return whether only the scheduler writes the row."""
     return "/scheduler/" in key
 
 
 def job_shard_prefixes() -> list[str]:
-    """Return the prefix of each shard of the jobs' rows, the scheduler's last."""
+    """Return the prefix of each shard of `JOBS_GROUP`, the scheduler's last."""
     shards = [f"{JOBS_GROUP}/j{number}/" for number in range(_JOB_SHARDS)]
     return [*shards, f"{JOBS_GROUP}/scheduler/"]
 
 
 def job_of(key: str) -> JobId:
-    """Return the job that a key is about."""
+    """Return the id of the job that a key belongs to."""
     return JobId(key.rsplit(".", 1)[1])
 
 
--- a/coltsfoottray/jobs/model.py
+++ b/coltsfoottray/jobs/model.py
@@ -1,4 +1,4 @@
-"""A job as its caller described it."""
+"""The specification of a job, as submitted by its caller."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class TaskRef(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Names one task: job, occurrence of the job, step, index in the step."""
+    """Identifies a task: job, occurrence of the job, step, index in the step."""
 
     job: JobId
     occurrence: int
@@ -37,7 +37,7 @@
 
 
 class RunRef(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Names one run of a task; runs are numbered from 1 and rise."""
+    """Identifies a run of a task; run numbers start at 1 and increase."""
 
     task: TaskRef
     run: int
@@ -52,39 +52,39 @@
     Parameters
     ----------
     count : int
-        How many tasks it has.
+        Number of tasks.
     demand : Resources
-        What each task is given.
+        Resources of each task.
     estimate_ms : float
-        The caller's guess of a task's duration, often far off.
+        The caller's estimate of a task's duration, often far from the real one.
     after : list of int
-        Steps that must have ended well first.
+        Indices of the steps that must have completed first.
     has_checkpoints : bool
-        A run can resume from what an earlier one saved.
+        Whether a run can resume from a checkpoint of an earlier one.
     is_gang : bool
-        All tasks run together or not at all, under one run number.
+        Whether all tasks run together or not at all, under one run number.
     is_one_rack : bool
-        Slower when its tasks are spread over several racks.
+        Whether the tasks run slower when they are spread over several racks.
     label : str
-        A label that the worker must carry.
+        Label that the worker must have.
     data_rack : str
-        The rack that holds its data; it runs slower elsewhere.
+        Rack that holds the step's data; tasks run slower elsewhere.
     max_per_worker : int
-        At most so many tasks of the step on one worker; 0 for no limit.
+        Maximum number of the step's tasks on one worker; 0 for no limit.
     is_speculative : bool
-        Copies of a task may run side by side.
+        Whether copies of a task may run concurrently.
     is_service : bool
-        Its tasks run until the job is cancelled and are started again however
+        Whether the tasks run until the job is cancelled, and are restarted whenever
         they end.
     image : str
-        What the tasks run; tasks of one image behave alike.
+        Image that the tasks run; tasks of one image behave alike.
     target_latency_ms : float
-        For a service: its own tail latency must stay below; 0 for none.
+        For a service: upper bound on its own tail latency; 0 for none.
     is_filler : bool
-        Its processors are not set aside: it gets what the others leave.
+        Whether no processors are reserved for it; it uses those that are idle.
     max_unavailable : int
-        For a service: so many of its tasks may be away at once by our doing;
-        0 for no limit.
+        For a service: maximum number of tasks that the scheduler may make unavailable
+        at the same time; 0 for no limit.
     """
 
     count: int = 1
@@ -106,14 +106,14 @@
 
     @property
     def reserved(self) -> Resources:
-        """What a task takes from a worker's capacity for certain."""
+        """Resources that a task reserves from a worker's capacity."""
         if not self.is_filler:
             return self.demand
         return msgspec.structs.replace(self.demand, processors=0.0)
 
 
 class Repetition(msgspec.Struct, frozen=True, kw_only=True):
-    """A job that runs its steps `times` times, each from its due time on."""
+    """Schedule of a job that runs `times` times, each at its due time or later."""
 
     times: int
     first_ms: int
@@ -125,7 +125,7 @@
 
 
 class JobSpec(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """What a caller handed in; `payload` is passed to each task as it is."""
+    """A job as submitted; `payload` is passed to each task unchanged."""
 
     payload: str
     steps: list[StepSpec]
@@ -133,14 +133,14 @@
 
 
 class AdviceTerms(msgspec.Struct, frozen=True, kw_only=True):
-    """How an outside service advises on a queue's steps.
+    """How an external service advises on a queue's steps.
 
     Parameters
     ----------
     decision_ms, per_worker_ms : float
-        How long an answer takes, and how much longer for each worker named.
+        Time that an answer takes, and the additional time per worker in the request.
     validity_ms : float
-        For how long its tickets are valid.
+        How long its tickets are valid.
     """
 
     decision_ms: float = 0.0
@@ -149,21 +149,21 @@
 
 
 class QueueTerms(msgspec.Struct, frozen=True, kw_only=True):
-    """What a queue promised the job when it was accepted.
+    """The terms of a queue under which a job runs.
 
     Parameters
     ----------
     service : str
-        The pool of workers that runs it.
+        Pool of workers that runs the job.
     priority : int
-        0 goes first.
+        0 is scheduled first.
     max_attempts : int
-        A task that failed so often makes the job fail.
+        Number of failures of one task after which the job fails.
     slowdown_factor, target_latency_ms : float
-        A job is on time within `slowdown_factor` times its longest chain of
-        work and `target_latency_ms` more.
+        A job is on time if it takes at most `slowdown_factor` times its critical
+        path plus `target_latency_ms`.
     advice : AdviceTerms, optional
-        Given where only workers that an outside service allows may run its steps.
+        Set if only workers that an external service allows may run the steps.
     """
 
     service: str
@@ -175,7 +175,7 @@
 
     @property
     def has_objective(self) -> bool:
-        """Whether a job can be on time at all: some time is left beside its work."""
+        """Whether a job can be on time: its terms allow more than the critical path."""
         return self.slowdown_factor > 1.0 or self.target_latency_ms > 0.0
 
 
@@ -185,7 +185,7 @@
     Parameters
     ----------
     accepted_ms : int
-        When an entry received it, in milliseconds since 1970.
+        Time at which an entry received it, in milliseconds since 1970.
     """
 
     id: JobId
@@ -196,5 +196,5 @@
 
     @property
     def accepted(self) -> timedelta:
-        """`accepted_ms` since 1970."""
+        """`accepted_ms` as a duration since 1970."""
         return timedelta(milliseconds=self.accepted_ms)
--- a/coltsfoottray/jobs/records.py
+++ b/coltsfoottray/jobs/records.py
@@ -1,7 +1,7 @@
-"""What is stored of a job's progress, written by the scheduler.
+"""Stored progress of a job, written by the scheduler.
 
-One row a job tells of each task, and a short one what callers may ask for; the two
-are written together.
+Each job has two rows, which are written together: a record with the progress of each
+task, and a short summary of what callers can query.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class JobState(enum.Enum):
-    """Where a job stands."""
+    """State of a job."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -24,12 +24,12 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether no later state can follow."""
+        """Whether no other state can follow."""
         return self not in (JobState.QUEUED, JobState.RUNNING)
 
 
 class JobSummary(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """The part of a job's progress that callers ask for.
+    """The part of a job's progress that callers can query.
 
     Parameters
     ----------
@@ -42,27 +42,27 @@
 
 
 class TaskPhase(enum.IntEnum):
-    """Where a task stands."""
+    """Phase of a task."""
 
     WAITING = 0
     ASSIGNED = 1
-    """A run may exist on the worker named, whether or not it has begun."""
+    """A run may exist on the assigned worker, whether or not it has started."""
     DONE = 2
 
 
 class TaskRecord(msgspec.Struct, array_like=True, omit_defaults=True):
-    """One task.
+    """Progress of one task.
 
     Parameters
     ----------
     run : int
-        The number of its last run, 0 before the first.
+        Number of its latest run, 0 before the first.
     failures : int
-        Runs that ended by a failure of the task.
+        Number of runs that ended with a failure of the task.
     worker, life : str
-        Where the run is, and in which life of that worker.
+        Worker that the run is assigned to, and the worker's incarnation.
     checkpoint : str
-        What the next run resumes from; empty for the beginning.
+        Checkpoint that the next run resumes from; empty to start from the beginning.
     """
 
     phase: TaskPhase = TaskPhase.WAITING
@@ -74,19 +74,18 @@
 
 
 class JobRecord(msgspec.Struct, kw_only=True, omit_defaults=True):
-    """One job.
+    """Progress of one job.
 
     Parameters
     ----------
     ended_ms : int
-        When it reached its final state, in milliseconds since 1970.
+        Time at which it reached its final state, in milliseconds since 1970.
     has_started : bool
         Whether any of its tasks was ever assigned.
     occurrences : list
-        The tasks by occurrence and step. An occurrence that has ended well is
-        an empty list.
+        Tasks by occurrence and step. A completed occurrence is an empty list.
     length_ms_by_step : dict
-        How long a task of a step took, for the steps of which that is known.
+        Duration of a task in milliseconds by step, for the steps where it is known.
     """
 
     state: JobState = JobState.QUEUED
@@ -97,5 +96,5 @@
 
     @property
     def summary(self) -> JobSummary:
-        """What callers may ask for."""
+        """The part of the record that callers can query."""
         return JobSummary(state=self.state, has_started=self.has_started)
