--- a/coltsfoottray/platform/metadata_table.py
+++ b/coltsfoottray/platform/metadata_table.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store as a watched table."""
+"""The platform's metadata store as a `WatchedTable`."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 
 __all__ = ["MAX_TRANSACTION_ITEMS", "MetadataTable"]
 
-# What takes longer is taken for lost, also while the store is slow.
+# A call that takes longer counts as failed, even while the store is slow.
 _MAX_TIMEOUT = timedelta(seconds=1.5)
-# While the store loses answers, each that is waited for costs a round of the scheduler,
-# so that the wait begins short and is doubled with each miss; a write asked for again
-# is harmless by its conditions.
+# While the store loses answers, each wait for one costs a round of the scheduler. The
+# timeout therefore starts short and doubles with each failure. Sending a write again
+# is harmless because of its conditions.
 _MIN_TIMEOUT = timedelta(milliseconds=300)
-# A question that the store holds is asked again so long after the store was to answer,
-# or a config written meanwhile would come into force too late.
+# Minimum time that a held request may overrun its hold before it is sent again. A
+# longer minimum would delay a config that was written in the meantime.
 _MIN_HELD_SLACK = timedelta(milliseconds=500)
-_USUAL_FACTOR = 8
+_LATENCY_FACTOR = 8
 _SMOOTHING = 0.3
-# The store's own limit on the conditions and writes of one transaction.
+# The store's limit on the conditions and writes of one transaction.
 MAX_TRANSACTION_ITEMS = 100
-# The store's own limit on the rows of one answer.
+# The store's limit on the rows of one answer.
 _PAGE_ROWS = 500
 _CONFLICT = 412
 _HISTORY_LOST = 410
@@ -58,8 +58,8 @@
 
 
 class _Tx(msgspec.Struct):
-    # The name suggests one number; it holds the rows with the version that each
-    # must have, 0 for a row that must not exist.
+    # Despite its name not a single revision: the rows with the version that each must
+    # have, 0 for a row that must not exist.
     expectedRevision: list[_Ref]  # noqa: N815
     upserts: list[_Ref]
     remove: list[_Ref]
@@ -70,7 +70,7 @@
     part: str
     key: str
     value: str = ""
-    # The version of this row, not of a schema: a counter of the whole store.
+    # Not the version of a schema, but of this row, from a counter of the whole store.
     schemaVersion: int = 0  # noqa: N815
     deleted: bool = False
 
@@ -96,8 +96,8 @@
         self._transport = transport
         self._clock = clock
         self._metrics = metrics
-        self._usual = timedelta(0)
-        self._misses = 0
+        self._smoothed_latency = timedelta(0)
+        self._failures = 0
 
     async def commit(  # noqa: D102
         self, transaction: Transaction
@@ -126,7 +126,7 @@
         return Success({put.key: answer.schemaVersion for put in transaction.puts})
 
     async def get(self, key: str) -> Row | None:  # noqa: D102
-        table, part, name = _split(key)
+        table, part, name = _split_key(key)
         query = {"table": table, "part": part, "from": name, "limit": "1"}
         answer = await self._read(query)
         rows = [_as_row(row) for row in answer.rows if row.key == name]
@@ -136,7 +136,7 @@
         return (await self.snapshot(prefix)).rows
 
     async def snapshot(self, prefix: str) -> Snapshot:  # noqa: D102
-        table, part, first = _split(prefix)
+        table, part, first = _split_key(prefix)
         rows: list[Row] = []
         version: int | None = None
         while True:
@@ -144,8 +144,8 @@
             if first:
                 query["from"] = first
             answer = await self._read(query)
-            # Later pages may show later writes; following from the first page's
-            # version brings those again, which does no harm.
+            # Later pages may contain later writes. Changes since the first page's
+            # version include those writes again, which is harmless.
             version = answer.schemaVersion if version is None else version
             rows.extend(_as_row(row) for row in answer.rows)
             if not answer.hasMore or not answer.rows:
@@ -163,7 +163,7 @@
         target = f"/v1/rows-feed?{urlencode(query)}"
         response = await self._send(HttpRequest(method="GET", target=target), held=wait)
         if response.status == _HISTORY_LOST:
-            raise HistoryLost(f"{group}: changes after {after} are gone")
+            raise HistoryLost(f"{group}: changes after {after} are no longer kept")
         answer = _decode(response)
         rows = [_as_row(row) for row in answer.rows]
         return Changes(rows=rows, version=max(after, answer.schemaVersion))
@@ -177,7 +177,7 @@
         self, request: HttpRequest, held: timedelta = timedelta(0)
     ) -> HttpResponse:
         """Send `request`, which the store may hold for `held` before it answers."""
-        begun = self._clock.elapsed()
+        started = self._clock.elapsed()
         timeout = self._timeout()
         if held:
             timeout = held + max(timeout, _MIN_HELD_SLACK)
@@ -186,36 +186,36 @@
                 self._address, request, timeout=timeout
             )
         except CommunicationError as error:
-            self._misses += 1
-            self._count(request, error.step.value, error.received_bytes)
+            self._failures += 1
+            self._count_call(request, error.step.value, error.received_bytes)
             raise TableUnavailable(
                 detail=str(error), is_unwritten=error.is_unseen
             ) from error
-        self._misses = 0
-        self._count(request, str(response.status), len(response.body))
+        self._failures = 0
+        self._count_call(request, str(response.status), len(response.body))
         if not held:
-            taken = self._clock.elapsed() - begun
-            self._metrics.time("table_call", taken, call=request.path[4:])
-            self._usual += (taken - self._usual) * _SMOOTHING
+            latency = self._clock.elapsed() - started
+            self._metrics.time("table_call", latency, call=request.path[4:])
+            self._smoothed_latency += (latency - self._smoothed_latency) * _SMOOTHING
         if response.status not in (200, _CONFLICT, _HISTORY_LOST):
-            # The store refuses before it writes anything.
+            # The store returns an error status only before it writes anything.
             raise TableUnavailable(
                 detail=f"status {response.status}", is_unwritten=True
             )
         return response
 
-    def _count(self, request: HttpRequest, outcome: str, size: int) -> None:
+    def _count_call(self, request: HttpRequest, outcome: str, size: int) -> None:
         call = request.path[4:]
         self._metrics.count("table_calls", call=call, outcome=outcome)
         self._metrics.count("table_answer_bytes", size, call=call, outcome=outcome)
 
     def _timeout(self) -> timedelta:
-        """Return how long to wait for an answer, by the last ones."""
-        expected = max(self._usual * _USUAL_FACTOR, _MIN_TIMEOUT)
-        return min(expected * (1 << min(self._misses, 8)), _MAX_TIMEOUT)
+        """Return the timeout of the next call, based on the latency of earlier ones."""
+        expected = max(self._smoothed_latency * _LATENCY_FACTOR, _MIN_TIMEOUT)
+        return min(expected * (1 << min(self._failures, 8)), _MAX_TIMEOUT)
 
 
-def _split(key: str) -> tuple[str, str, str]:
+def _split_key(key: str) -> tuple[str, str, str]:
     table, part, name = key.split("/", 2)
     return table, part, name
 
@@ -223,7 +223,7 @@
 def _as_ref(
     key: str, *, version: int | None = None, value: msgspec.Raw | None = None
 ) -> _Ref:
-    table, part, name = _split(key)
+    table, part, name = _split_key(key)
     text = None if value is None else base64.b64encode(bytes(value)).decode()
     return _Ref(table=table, part=part, key=name, schemaVersion=version, value=text)
 
@@ -242,5 +242,5 @@
         return msgspec.json.decode(response.body or b"{}", type=_Answer)
     except msgspec.DecodeError as error:
         raise TableUnavailable(
-            detail=f"answer cannot be read: {error}", is_unwritten=False
+            detail=f"answer cannot be decoded: {error}", is_unwritten=False
         ) from error
