--- a/coltsfoottray/platform/__init__.py
+++ b/coltsfoottray/platform/__init__.py
@@ -1,4 +1,4 @@
-"""What the platform gives: table service, object store and workers."""
+"""Interfaces of the platform's services: table, object store and workers."""
 
 from __future__ import annotations
 
--- a/coltsfoottray/platform/common.py
+++ b/coltsfoottray/platform/common.py
@@ -1,4 +1,4 @@
-"""Abstract base classes of the platform's services and their messages."""
+"""Abstract base classes for the platform's services, and their messages."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 
 T = TypeVar("T")
 
-# The version a condition names for a row that must not exist.
+# The version in a condition that requires the row to be absent.
 ABSENT = 0
 
 
 class Row(msgspec.Struct, frozen=True, kw_only=True):
-    """A row; `version` rises with each of its writes and is never reused."""
+    """A row; `version` increases with each write of the row and is never reused."""
 
     key: str
     value: msgspec.Raw
@@ -49,19 +49,19 @@
     is_deleted: bool = False
 
     def decode(self, kind: type[T]) -> T:
-        """Return the value as a `kind`."""
+        """Return the value decoded as `kind`."""
         return msgspec.json.decode(self.value, type=kind)
 
 
 class Check(msgspec.Struct, frozen=True, kw_only=True):
-    """A condition: `key` is at `version`, or absent where that is `ABSENT`."""
+    """A condition: the row at `key` has `version`, or is absent if it is `ABSENT`."""
 
     key: str
     version: int
 
 
 class Put(msgspec.Struct, frozen=True, kw_only=True):
-    """A write on the condition of its `version`; a null deletes the row."""
+    """A write, conditional on the row's `version`; a null value deletes the row."""
 
     key: str
     version: int
@@ -69,41 +69,41 @@
 
     @property
     def is_deletion(self) -> bool:
-        """Whether the row is to go."""
+        """Whether the write deletes the row."""
         return bytes(self.value) == b"null"
 
     @staticmethod
     def of(key: str, version: int, value: object) -> Put:
-        """Return a write of `value` in JSON."""
+        """Return a write of `value`, encoded as JSON."""
         return Put(
             key=key, version=version, value=msgspec.Raw(msgspec.json.encode(value))
         )
 
 
 class Transaction(msgspec.Struct, frozen=True, kw_only=True):
-    """Writes that take effect together, if every condition holds, or not at all."""
+    """Writes that take effect atomically, if every condition holds."""
 
     puts: list[Put]
     checks: list[Check] = msgspec.field(default_factory=list)
 
 
 class TableConflict(msgspec.Struct, frozen=True, kw_only=True):
-    """A condition did not hold; nothing was written."""
+    """The result of a commit of which a condition failed; nothing was written."""
 
     rows: list[Row]
 
 
 @dataclass(kw_only=True)
 class TableUnavailable(ColtsfoottrayError):
-    """The table gave no answer.
+    """The table service did not answer, or answered with an error.
 
     Parameters
     ----------
     detail : str
-        What went wrong.
+        Description of the failure.
     is_unwritten : bool
-        Whether the write certainly did not and will not take effect. Where it
-        is false, the write may have taken effect and its answer been lost.
+        Whether the write certainly did not and will not take effect. If false, the
+        write may have taken effect and its answer may have been lost.
     """
 
     detail: str
@@ -125,41 +125,42 @@
         Raises
         ------
         TableUnavailable
-            If no answer came. The caller reads back what it wrote.
+            If the table did not answer. The caller reads the rows to determine
+            whether the write took effect.
         """
 
     @abc.abstractmethod
     async def get(self, key: str) -> Row | None:
-        """Return the row, raising `TableUnavailable` if no answer came."""
+        """Return the row or None, raising `TableUnavailable` without an answer."""
 
     @abc.abstractmethod
     async def scan(self, prefix: str) -> Sequence[Row]:
-        """Return the rows whose key begins with `prefix`, in key order."""
+        """Return the rows whose key starts with `prefix`, in key order."""
 
 
 class Snapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """Rows as of one moment; changes after it follow from `version` on."""
+    """Rows at one point in time; pass `version` to `changes` for what follows."""
 
     rows: list[Row]
     version: int
 
 
 class Changes(msgspec.Struct, frozen=True, kw_only=True):
-    """What changed, in order; the next changes follow from `version` on."""
+    """Changed rows, in order; pass `version` to `changes` for what follows."""
 
     rows: list[Row]
     version: int
 
 
 class HistoryLost(ColtsfoottrayError):
-    """The changes asked for are no longer kept; read the rows again."""
+    """The requested changes are no longer kept; the rows must be read again."""
 
 
 class WatchedTable(TableService):
-    """A table service that tells what changes.
+    """A table service that reports changes.
 
-    Keys are `group/shard/name`. A transaction keeps to one shard of any groups;
-    a group is what can be watched as a whole.
+    Keys are `group/shard/name`. The rows of a transaction must have the same shard, but
+    may be in different groups. A group is the unit that can be watched.
     """
 
     @abc.abstractmethod
@@ -168,38 +169,40 @@
 
     @abc.abstractmethod
     async def changes(self, group: str, *, after: int, wait: timedelta) -> Changes:
-        """Return the changes of `group` since `after`, none after `wait`.
+        """Return the changes of `group` since version `after`.
+
+        If there are none, wait up to `wait` for one; the result may then be empty.
 
         Raises
         ------
         TableUnavailable
-            If no answer came.
+            If the table did not answer.
         HistoryLost
-            If `after` is too long ago.
+            If the changes since `after` are no longer kept.
         """
 
 
 class ObjectStore(abc.ABC):
     """The platform's object store: whole objects by name, last write wins.
 
-    Each method raises `CommunicationError` if no answer came.
+    Each method raises `CommunicationError` if the store does not answer.
     """
 
     @abc.abstractmethod
     async def write(self, name: str, data: bytes) -> None:
-        """Store `data`."""
+        """Store `data` as `name`."""
 
     @abc.abstractmethod
     async def read(self, name: str) -> bytes | None:
-        """Return the object or None."""
+        """Return the object, None if there is none."""
 
     @abc.abstractmethod
     async def has(self, name: str) -> bool:
-        """Return whether there is such an object."""
+        """Return whether the object exists."""
 
 
 class RunningTask(msgspec.Struct, frozen=True, kw_only=True):
-    """What a worker says of one attempt of a task."""
+    """A worker's report on one attempt of a task."""
 
     task: TaskId
     attempt: int
@@ -212,7 +215,7 @@
 
 
 class WorkerDescription(msgspec.Struct, frozen=True, kw_only=True):
-    """What a worker has in all, and an id of this life of its VM."""
+    """A worker's total capacity, and an id of the current boot of its VM."""
 
     capacity: Resources
     boot: str
@@ -224,9 +227,9 @@
     Parameters
     ----------
     checkpoint : str
-        The object to resume from; empty to start from the beginning.
+        Object to resume from; empty to start from the beginning.
     holder : str
-        The holder of the worker's lease on whose word it starts.
+        Holder of the worker's lease that requests the start.
     """
 
     task: TaskId
@@ -239,30 +242,30 @@
 
 
 class WorkerControl(abc.ABC):
-    """The platform's hold on one worker.
+    """The platform's control interface of one worker.
 
-    Tasks run only while the lease is renewed: at its lapse the worker itself
-    suspends every task, also when no process of ours is left to ask for it.
+    Tasks run only while the lease is renewed. When it lapses, the worker itself
+    suspends every task, even if no process of coltsfoottray is left to request it.
     """
 
     @abc.abstractmethod
     async def describe(self) -> WorkerDescription:
-        """Return what the worker is."""
+        """Return the worker's capacity and boot id."""
 
     @abc.abstractmethod
     async def start(self, start: TaskStart) -> None:
-        """Start one attempt; one that the worker has already seen is left alone.
+        """Start an attempt; has no effect if the worker already knows the attempt.
 
         Raises
         ------
         CommunicationError
-            Also where the worker refuses because `start.holder` is not the one
-            that last renewed the lease.
+            Also if the worker refuses because `start.holder` is not the holder that
+            last renewed the lease.
         """
 
     @abc.abstractmethod
     async def stop(self, *, task: TaskId, attempt: int) -> None:
-        """End an attempt for good; it can never start on this worker again."""
+        """Stop an attempt permanently; it can never start on this worker again."""
 
     @abc.abstractmethod
     async def checkpoint(self, *, task: TaskId, attempt: int, name: str) -> None:
@@ -270,12 +273,12 @@
 
     @abc.abstractmethod
     async def renew(self, *, holder: str, duration: timedelta) -> None:
-        """Let tasks run for `duration` from the moment the call was sent."""
+        """Let tasks run for `duration`, counted from when the call was sent."""
 
     @abc.abstractmethod
     async def tasks(self) -> Sequence[RunningTask]:
-        """Return every attempt that runs or has ended and was not forgotten."""
+        """Return every attempt that runs, or has ended and was not forgotten."""
 
     @abc.abstractmethod
     async def forget(self, *, task: TaskId, attempt: int) -> None:
-        """Drop an ended attempt from `tasks`."""
+        """Remove an ended attempt from `tasks`."""
--- a/coltsfoottray/platform/http.py
+++ b/coltsfoottray/platform/http.py
@@ -73,7 +73,7 @@
                 detail=str(error), is_unwritten=error.is_unseen
             ) from error
         if response.status not in (200, _CONFLICT):
-            # The service's own refusal is given before anything is written.
+            # The service returns an error status only before it writes anything.
             raise TableUnavailable(
                 detail=f"status {response.status}", is_unwritten=True
             )
@@ -109,7 +109,7 @@
 
 
 class HttpWorkerControl(WorkerControl):
-    """A worker's control over HTTP."""
+    """The control interface of a worker over HTTP."""
 
     def __init__(self, *, address: Address, client: HttpTransport) -> None:
         self._address = address
--- a/coltsfoottray/platform/retry.py
+++ b/coltsfoottray/platform/retry.py
@@ -1,4 +1,4 @@
-"""Commits whose outcome is certain, although answers can be lost."""
+"""Commits with a known outcome, although the table's answers can be lost."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 async def commit_with_retry(
     table: TableService, transaction: Transaction, *, clock: Clock
 ) -> Result[dict[str, int], TableConflict]:
-    """Commit `transaction` and return only once its outcome is certain.
+    """Commit `transaction` and return once its outcome is known.
 
-    After a lost answer the same conditional transaction is sent again. It can
-    take effect once at most: if the first sending did, or still does, the second
-    meets a conflict whose rows hold our own values, which is our success. The
-    values must therefore be ours alone (an attempt number, an incarnation, a
-    token).
+    After a lost answer, the same conditional transaction is sent again. It takes
+    effect at most once: if the first attempt takes effect, even with a delay, the
+    second fails with a conflict, and the stored rows have the values of
+    `transaction`, which means success. No other writer may therefore write these
+    values; include an attempt number, an incarnation or a token.
 
     Raises
     ------
     TableUnavailable
-        Only where the first sending certainly wrote nothing. After an uncertain
-        one it keeps trying until the table is back; callers that cannot wait
-        put a cancel scope around it.
+        Only if the first attempt certainly wrote nothing. After an attempt with an
+        unknown outcome, the function retries until the table is available again;
+        callers that cannot wait use a cancel scope.
     """
     is_uncertain = False
     while True:
@@ -49,16 +49,16 @@
             await clock.sleep(RETRY_DELAY)
             continue
         if isinstance(outcome, Failure) and is_uncertain:
-            versions = await _own_versions(table, transaction, clock=clock)
+            versions = await _written_versions(table, transaction, clock=clock)
             if versions is not None:
                 return Success(versions)
         return outcome
 
 
-async def _own_versions(
+async def _written_versions(
     table: TableService, transaction: Transaction, *, clock: Clock
 ) -> dict[str, int] | None:
-    """Return the versions of our rows if every one stands as we wrote it."""
+    """Return the versions of the written rows if all are stored as written."""
     versions: dict[str, int] = {}
     for put in transaction.puts:
         while True:
@@ -78,5 +78,5 @@
 
 
 def _is_equal(left: msgspec.Raw, right: msgspec.Raw) -> bool:
-    """Whether two JSON texts mean the same; a table may space them anew."""
+    """Return whether two JSON texts are equal apart from their formatting."""
     return bool(msgspec.json.decode(left) == msgspec.json.decode(right))
