--- a/coltsfoottray/platform/advice.py
+++ b/coltsfoottray/platform/advice.py
@@ -1,4 +1,4 @@
-"""The platform's service that knows which workers a queue's policy allows."""
+"""Client of the platform's service that decides which workers a queue may use."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 __all__ = ["AdviceClient"]
 
-# Beside the times that the queue names: the way, and a question of another daemon on
-# this VM that is answered first.
+# In addition to the times in the queue's terms: the network round trip, and a request
+# of another daemon on this VM that is answered first.
 _SLACK = timedelta(seconds=1)
 
 
 class _Answer(msgspec.Struct):
-    # Rows of a worker's id and the ticket for it.
+    # Each row holds a worker's id and its ticket.
     allowed: list[list[str]] = msgspec.field(default_factory=list)
 
 
--- a/coltsfoottray/platform/heartbeats.py
+++ b/coltsfoottray/platform/heartbeats.py
@@ -1,4 +1,4 @@
-"""Workers' reports about themselves, as the platform sends them."""
+"""Handler of workers' heartbeats, in the platform's wire format."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 class HeartbeatHandler:
-    """Passes reports on to the attendant."""
+    """Passes heartbeats and deregistrations on to the attendant."""
 
     def __init__(self, *, attendant: TaskAttendant) -> None:
         self._attendant = attendant
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one report."""
+        """Return the response to one heartbeat or deregistration."""
         match = _PATH.fullmatch(request.path)
         if request.method != "POST" or match is None:
             return HttpResponse(status=404)
-        instance, verb = match.groups()
-        if verb == "deregister":
+        instance, action = match.groups()
+        if action == "deregister":
             self._attendant.take_leave(instance)
             return HttpResponse.of_json({})
         beat = parse_heartbeat(instance, request.body)
--- a/coltsfoottray/platform/ingress.py
+++ b/coltsfoottray/platform/ingress.py
@@ -1,4 +1,4 @@
-"""Callers' requests about jobs, as the platform's consumers send them."""
+"""Handler of callers' HTTP requests about jobs, in the platform's wire format."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 __all__ = ["JobIngress"]
 
 _JOB_ID = re.compile(r"[0-9a-fA-F]{16}")
-_MILLI = 1000.0
+_MILLICORES_PER_CORE = 1000.0
 _MB_PER_GB = 1000.0
 _DEFAULT_DEADLINE = timedelta(seconds=3)
 _STATUS_BY_VERDICT = {
@@ -32,17 +32,17 @@
 
 class _Step(msgspec.Struct):
     count: int = 1
-    cpu: float = 0.0  # thousandths of a core
-    memoryLimitMb: float = 0.0  # noqa: N815  what a task is given
+    cpu: float = 0.0  # millicores
+    memoryLimitMb: float = 0.0  # noqa: N815  reserved for each task
     gpu: int = 0
     estimateMs: float = 0.0  # noqa: N815
     after: list[int] = msgspec.field(default_factory=list)
     checkpointing: bool = False
     gang: bool = False
-    sameRack: bool = False  # noqa: N815  a wish: slower otherwise
-    requirements: str = ""  # one label of a worker
-    affinity: str = ""  # the rack of its data
-    # Despite its name no list of what to avoid: the most tasks on one worker.
+    sameRack: bool = False  # noqa: N815  a preference; tasks run slower otherwise
+    requirements: str = ""  # one label that the worker must have
+    affinity: str = ""  # the rack that holds the step's data
+    # Despite its name not a list: the maximum number of the step's tasks per worker.
     antiAffinity: int = 0  # noqa: N815
     speculative: bool = False
     longRunning: bool = False  # noqa: N815
@@ -53,7 +53,7 @@
 
 
 class _Job(msgspec.Struct):
-    # What the tasks are passed, not the job's description.
+    # The payload passed to the tasks, not the specification of the job.
     spec: str
     steps: list[_Step]
     repetitions: int = 0
@@ -62,12 +62,12 @@
 
 
 class JobIngress:
-    """Routes callers' requests to the intake.
+    """Translates callers' requests into calls of `JobApi`.
 
     Parameters
     ----------
     spawn : callable
-        Runs an async function in the background.
+        Starts an async function in the background.
     """
 
     def __init__(
@@ -82,9 +82,9 @@
         self._spawn = spawn
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one request."""
+        """Return the response to one request."""
         if not self._holder.current.version:
-            return _refused(timedelta(seconds=1))
+            return _not_done_response(timedelta(seconds=1))
         host = request.header_by_name.get("host", "").partition(":")[0]
         queue = self._holder.current.find_queue(host, request.path)
         if queue is None:
@@ -101,7 +101,7 @@
     ) -> HttpResponse:
         deadline = _deadline(request, queue)
         if request.method == "POST":
-            spec = _read_job(request)
+            spec = _parse_job(request)
             answer = await self._job_api.submit(queue, job_id, spec, deadline=deadline)
             if answer.verdict is Verdict.DONE:
                 self._spawn(lambda: self._job_api.notify_scheduler(job_id))
@@ -114,7 +114,7 @@
 
 
 def _deadline(request: HttpRequest, queue: Queue) -> timedelta:
-    """Return how long the caller waits, at most the queue's timeout."""
+    """Return the time that the caller allows, at most the queue's timeout."""
     timeout = timedelta(milliseconds=queue.timeout_ms)
     text = request.header_by_name.get("deadline-ms", "")
     if not text.isdigit():
@@ -122,18 +122,18 @@
     return min(timeout, timedelta(milliseconds=int(text)))
 
 
-def _read_job(request: HttpRequest) -> JobSpec:
+def _parse_job(request: HttpRequest) -> JobSpec:
     wire = request.decode(_Job)
     for number, step in enumerate(wire.steps):
         if step.count < 1:
             raise InputError(
                 field=f"steps[{number}].count", value=step.count, expected="1 or more"
             )
-        for before in step.after:
-            if not 0 <= before < number:
+        for dependency in step.after:
+            if not 0 <= dependency < number:
                 raise InputError(
                     field=f"steps[{number}].after",
-                    value=before,
+                    value=dependency,
                     expected=f"an earlier step, 0 to {number - 1}",
                 )
     repetition = None
@@ -154,7 +154,7 @@
     return StepSpec(
         count=step.count,
         demand=Resources(
-            processors=step.cpu / _MILLI,
+            processors=step.cpu / _MILLICORES_PER_CORE,
             memory_gb=step.memoryLimitMb / _MB_PER_GB,
             accelerators=step.gpu,
         ),
@@ -177,13 +177,13 @@
 
 def _as_response(answer: JobAnswer) -> HttpResponse:
     if answer.verdict is Verdict.NOT_DONE and answer.retry_after is not None:
-        return _refused(answer.retry_after)
+        return _not_done_response(answer.retry_after)
     status = _STATUS_BY_VERDICT[answer.verdict]
     if answer.state is not None:
         return HttpResponse.of_json({"state": answer.state.value}, status=status)
     return HttpResponse(status=status)
 
 
-def _refused(retry_after: timedelta) -> HttpResponse:
+def _not_done_response(retry_after: timedelta) -> HttpResponse:
     seconds = max(1, math.ceil(retry_after.total_seconds()))
     return HttpResponse(status=503, header_by_name={"retry-after": str(seconds)})
--- a/coltsfoottray/platform/operator.py
+++ b/coltsfoottray/platform/operator.py
@@ -1,4 +1,4 @@
-"""What the platform's operator writes: the config."""
+"""Decoder of the config that the platform's operator writes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 class _Recommendation(msgspec.Struct):
     decisionMs: float = 0.0  # noqa: N815
-    periodMs: float = 0.0  # noqa: N815  for each worker named in a question
+    periodMs: float = 0.0  # noqa: N815  additional time per worker in a request
     validityMs: float = 0.0  # noqa: N815
 
 
@@ -25,10 +25,11 @@
     timeoutMs: float = 30_000.0  # noqa: N815
     targetLatencyMs: float = 0.0  # noqa: N815
     priority: int = 0
-    # Counts the runs that ended by a failure; lost or stopped ones are free.
+    # Only failed runs count as attempts; lost and stopped ones do not.
     maxAttempts: int = 1  # noqa: N815
     slowdownFactor: float = 1.0  # noqa: N815
-    # Not a hint: without it no worker may run the queue's steps.
+    # Not a hint: if set, only workers that the external service allows may run the
+    # queue's steps.
     recommendation: _Recommendation | None = None
 
 
@@ -45,7 +46,7 @@
 
 
 def parse_config(value: msgspec.Raw) -> Result[SiteConfig, str]:
-    """Return the config in a row, or what is wrong with it."""
+    """Return the config in a row, or the reason why it is invalid."""
     try:
         wire = msgspec.json.decode(value, type=_Config)
     except msgspec.DecodeError as error:
