--- a/coltsfoottray/platform/instance.py
+++ b/coltsfoottray/platform/instance.py
@@ -1,4 +1,4 @@
-"""The platform's calls to a worker, and the worker's heartbeats."""
+"""Calls to a worker in the platform's wire format, and the worker's heartbeats."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 __all__ = ["InstanceLink", "parse_heartbeat"]
 
-# A worker answers an order in a few milliseconds; one that has not by then may
-# carry it out late, and asking again is harmless.
+# A worker answers an order within a few milliseconds. One that has not answered by
+# this timeout may still carry the order out; sending it again is harmless.
 ORDER_TIMEOUT = timedelta(milliseconds=700)
 _MB_PER_GB = 1000.0
-_MILLI = 1000.0
+_MILLICORES_PER_CORE = 1000.0
 _REPLACED = 421
 _UNHEALTHY = (429, 503)
-_ENDS_AT_A_TIME = 500
+_MAX_ENDS_PER_REPLY = 500
 _REFUSAL_BY_REASON = {
     "fence": Refusal.FENCED,
     "old": Refusal.OLD,
@@ -45,16 +45,16 @@
     "ticket": Refusal.NO_TICKET,
 }
 T = TypeVar("T")
-_END_BY_WORD = {kind.value: kind for kind in EndKind}
+_END_KIND_BY_VALUE = {kind.value: kind for kind in EndKind}
 
 
 class _Capacity(msgspec.Struct):
-    cpu: float = 0.0  # thousandths of a core
-    memoryLimitMb: float = 0.0  # noqa: N815  all that it has, not a limit on one
+    cpu: float = 0.0  # millicores
+    memoryLimitMb: float = 0.0  # noqa: N815  total memory, not a limit per task
     gpu: int = 0
 
 
-class _Beat(msgspec.Struct):
+class _HeartbeatBody(msgspec.Struct):
     service: str
     address: str
     zone: str
@@ -66,7 +66,7 @@
     remainingMs: float = 0.0  # noqa: N815
 
 
-class _Lists(msgspec.Struct):
+class _RunLists(msgspec.Struct):
     clockMs: int  # noqa: N815
     running: list[list[object]] = msgspec.field(default_factory=list)
     finished: list[list[object]] = msgspec.field(default_factory=list)
@@ -102,12 +102,12 @@
         response = await self._post(beat, "/v1/hold", body, ORDER_TIMEOUT + wait)
         if response.status != 200:
             raise _failed(beat, f"status {response.status}")
-        lists = _decode(beat, response, _Lists)
+        lists = _decode(beat, response, _RunLists)
         return Look(
             clock=WorkerClock(reading_ms=lists.clockMs, received=self._clock.elapsed()),
             running=[_as_status(beat, row) for row in lists.running],
             ends=[_as_end(beat, row) for row in lists.finished],
-            is_whole=len(lists.finished) < _ENDS_AT_A_TIME,
+            is_whole=len(lists.finished) < _MAX_ENDS_PER_REPLY,
         )
 
     async def start(  # noqa: D102
@@ -185,18 +185,18 @@
         response = await self._transport.send(beat.address, request, timeout=timeout)
         if response.status == _REPLACED:
             raise WorkerReplaced(life=beat.life, takes_orders=False)
-        _check_life(beat, response)
+        _check_incarnation(beat, response)
         return response
 
 
 def parse_heartbeat(instance: str, body: bytes) -> Result[Heartbeat, str]:
-    """Return a worker's report about itself, or why it cannot be used.
+    """Return a worker's heartbeat, or the reason why it is invalid.
 
-    A worker may start again under the id it had, so its life is named by the id
-    and the moment of its start.
+    A worker may restart under the same id, so its incarnation is identified by the id
+    and the start time.
     """
     try:
-        beat = msgspec.json.decode(body, type=_Beat)
+        beat = msgspec.json.decode(body, type=_HeartbeatBody)
     except msgspec.DecodeError as error:
         return Failure(str(error))
     host, _, port = beat.address.rpartition(":")
@@ -213,7 +213,7 @@
             data_centre=beat.zone,
             capacity=_as_resources(beat.capacity),
             labels=beat.labels,
-            # The labels are the worker's kind, then its rack.
+            # The first label is the worker's kind, the second its rack.
             rack=beat.labels[1] if len(beat.labels) > 1 else "",
             is_draining=beat.state == "draining",
             remaining=timedelta(milliseconds=beat.remainingMs),
@@ -222,19 +222,19 @@
     )
 
 
-class _Born(msgspec.Struct):
+class _StartTime(msgspec.Struct):
     born: int = 0
 
 
-def _check_life(beat: Heartbeat, response: HttpResponse) -> None:
-    """Guard against a new life under the same id.
+def _check_incarnation(beat: Heartbeat, response: HttpResponse) -> None:
+    """Raise `WorkerReplaced` if the answer is from a new incarnation with the same id.
 
-    Its lists would be read as those of the life before: ends numbered anew, and
-    runs missing that are taken for runs not yet started. The moment of its
-    start, where the answer gives it, tells the two apart.
+    Its lists would be mistaken for those of the previous incarnation: the numbering of
+    ends starts again, and missing runs look like runs that have not started yet. The
+    start time, if the answer contains it, distinguishes the two.
     """
     try:
-        born = msgspec.json.decode(response.body or b"{}", type=_Born).born
+        born = msgspec.json.decode(response.body or b"{}", type=_StartTime).born
     except msgspec.DecodeError as error:
         raise _failed(beat, str(error)) from error
     if born and f"/{born}" != beat.life[beat.life.rfind("/") :]:
@@ -243,7 +243,7 @@
 
 def _as_resources(capacity: _Capacity) -> Resources:
     return Resources(
-        processors=capacity.cpu / _MILLI,
+        processors=capacity.cpu / _MILLICORES_PER_CORE,
         memory_gb=capacity.memoryLimitMb / _MB_PER_GB,
         accelerators=capacity.gpu,
     )
@@ -251,10 +251,10 @@
 
 def _as_status(beat: Heartbeat, row: Sequence[object]) -> RunStatus:
     try:
-        task, run, saved, percent, *rest = row
+        task, run, checkpoint, percent, *rest = row
         return RunStatus(
             ref=_as_ref(str(task), run),
-            checkpoint=str(saved),
+            checkpoint=str(checkpoint),
             percent=_as_float(percent),
             figure=_as_float(rest[0]) if rest else 0.0,
         )
@@ -264,12 +264,12 @@
 
 def _as_end(beat: Heartbeat, row: Sequence[object]) -> RunEnd:
     try:
-        number, task, run, how, saved, *_ = row
+        number, task, run, kind, checkpoint, *_ = row
         return RunEnd(
             number=int(_as_float(number)),
             ref=_as_ref(str(task), run),
-            kind=_END_BY_WORD[str(how)],
-            checkpoint=str(saved),
+            kind=_END_KIND_BY_VALUE[str(kind)],
+            checkpoint=str(checkpoint),
         )
     except (ValueError, TypeError, KeyError) as error:
         raise _failed(beat, f"row {row!r}: {error}") from error
