--- a/coltsfoottray/settings/__init__.py
+++ b/coltsfoottray/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: YAML files, checked before anything starts."""
+"""Settings: YAML files, validated before any service starts."""
 
 from __future__ import annotations
 
--- a/coltsfoottray/settings/loader.py
+++ b/coltsfoottray/settings/loader.py
@@ -1,4 +1,4 @@
-"""Reading a settings file and saying where it is wrong."""
+"""Loads settings files and reports each error with its line."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SettingsError:
-    """One fault of a file."""
+    """An error in a settings file, with its line."""
 
     file: str
     line: int
@@ -54,7 +54,7 @@
 
 
 def load_settings(path: Path) -> Result[AnySettings, list[SettingsError]]:
-    """Return the daemon settings in `path`, or every fault in it."""
+    """Return the daemon settings in `path`, or every error in the file."""
     parsed = _parse(path)
     if isinstance(parsed, Failure):
         return Failure(parsed.failure())
@@ -69,7 +69,7 @@
 
 
 def load_deployment(path: Path) -> Result[Deployment, list[SettingsError]]:
-    """Return the deployment in `path`, or every fault in it."""
+    """Return the deployment in `path`, or every error in the file."""
     parsed = _parse(path)
     if isinstance(parsed, Failure):
         return Failure(parsed.failure())
@@ -99,7 +99,7 @@
         message = str(error.problem)
         return Failure([SettingsError(file=str(path), line=line, message=message)])
     if not isinstance(document, dict) or root is None:
-        message = f"got {type(document).__name__}, expected keys and values"
+        message = f"got {type(document).__name__}, expected a mapping of keys to values"
         return Failure([SettingsError(file=str(path), line=1, message=message)])
     return Success(_Parsed(document, root))
 
@@ -146,7 +146,7 @@
 
 
 def _line_of(root: yaml.Node, location: tuple[int | str, ...]) -> int:
-    """Return the line of the deepest part of `location` that the file has."""
+    """Return the line of the deepest part of `location` that the file contains."""
     node = root
     line = root.start_mark.line
     for part in location:
--- a/coltsfoottray/settings/models.py
+++ b/coltsfoottray/settings/models.py
@@ -1,4 +1,4 @@
-"""What a settings file may hold."""
+"""Models of the settings files."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def parse_address(value: Any) -> Address:
-    """Return `value`, "IP:port", as an address."""
+    """Return the address in `value`, which has the form "IP:port"."""
     if isinstance(value, Address):
         return value
     host, _, port = str(value).rpartition(":")
@@ -52,25 +52,28 @@
     Parameters
     ----------
     lease_s : float
-        Length of the leases in the table; a lost VM's work is free after it.
+        Duration of the leases in the table. The work of a lost VM is reassigned after
+        it.
     hold_s : float
-        How long an entry holds an announcement when there is no news.
+        How long an entry holds an announcement while it has no updates to return.
     silence_s : float
-        A daemon not heard for this long gets no new work; above `hold_s`.
+        A daemon that has not been heard from for this long gets no new work. Must be
+        greater than `hold_s`.
     lists_poll_s : float
-        How often an entry looks for newer lists, besides being told.
+        Interval at which an entry polls for newer lists, in addition to notifications.
     report_s : float
-        How often a worker's attendant reads the worker's reports.
+        Interval at which a worker's attendant reads the worker's reports.
     checkpoint_s : float
-        How often running tasks are checkpointed; a lost worker loses as much.
+        Interval between checkpoints of running tasks. A lost worker loses at most the
+        work of one interval.
     drain_s : float
-        How long a graceful shutdown waits for work in flight.
+        How long a graceful shutdown waits for work in progress.
     retention_s : float
-        How long request ids, claims and answers are remembered; the same for
-        all daemons.
+        How long request ids, claims and answers are kept. Must be the same for all
+        daemons.
     outage_grace_s : float
-        How long entries go on serving keyed requests without the table. Who
-        joins after the loss of all entries waits for as long, see
+        How long entries keep serving keyed requests without the table. An entry that
+        joins after all entries were lost waits equally long, see
         docs/design/keyed-requests.md.
     """
 
@@ -101,20 +104,20 @@
 
 
 class LogSettings(_Model):
-    """Where log lines go; without a file, to standard error."""
+    """Level and file of the log; without a file, lines go to standard error."""
 
     level: Literal["debug", "info", "decisions"] = "info"
     file: str | None = None
 
 
 class DaemonSettings(_Model):
-    """What every daemon is told.
+    """Settings that all daemons have in common.
 
     Parameters
     ----------
     seeds : list of Address
-        Peer addresses of entries to turn to until the table has been read; a
-        daemon that starts in an outage of the table finds the others by them.
+        Peer addresses of entries to contact until the table has been read. A daemon
+        that starts during an outage of the table finds the others through them.
     """
 
     name: str = Field(min_length=1)
@@ -130,16 +133,16 @@
 
 
 class EntrySettings(DaemonSettings):
-    """An entry daemon.
+    """Settings of an entry daemon.
 
     Parameters
     ----------
     claims : Address
-        Where the other entries propose claims; no caller's business.
+        Address at which other entries propose claims; not for callers.
     deadline_s : float
-        The deadline of requests that name none.
+        Deadline of requests that do not specify one.
     max_claims : int
-        How many keys are remembered at the most.
+        Maximum number of keys that are kept.
     """
 
     role: Literal["entry"]
@@ -151,12 +154,12 @@
 
 
 class UpstreamSettings(DaemonSettings):
-    """An attendant beside an upstream.
+    """Settings of an attendant next to an upstream.
 
     Parameters
     ----------
     answer_mb : float
-        Bound on the answers remembered.
+        Maximum size of the stored answers, in MB.
     """
 
     role: Literal["upstream"]
@@ -167,26 +170,26 @@
 
 
 class WorkerSettings(DaemonSettings):
-    """An attendant beside a worker."""
+    """Settings of an attendant next to a worker."""
 
     role: Literal["worker"]
     control: AddressField
 
 
 class JobDaemonSettings(_Model):
-    """What every daemon that schedules or runs jobs is told.
+    """Settings that all daemons that schedule or run jobs have in common.
 
     Parameters
     ----------
     peers : Address
-        Where other daemons call this one. They all use the same port.
+        Address at which other daemons call this one. All daemons use the same port.
     table : Address
-        The platform's store.
+        Address of the platform's metadata store.
     metrics : Address, optional
-        Where counters and histograms are served as text.
+        Address at which counters and histograms are served as text.
     seeds : list of Address
-        Any addresses of entries to turn to while the table has not been read;
-        only the host counts, since all daemons use the same peer port.
+        Any addresses of entries to contact until the table has been read. Only the
+        host is used, because all daemons use the same peer port.
     """
 
     name: str = Field(min_length=1)
@@ -199,18 +202,18 @@
 
 
 class JobEntrySettings(JobDaemonSettings):
-    """An entry that accepts jobs and may become the scheduler.
+    """Settings of an entry that accepts jobs and may become the scheduler.
 
     Parameters
     ----------
     callers, readiness : Address
-        Where callers hand jobs in, and where the balancer asks for readiness.
+        Addresses at which callers submit jobs and the load balancer checks readiness.
     advice : Address, optional
-        The service that says which workers a queue's policy allows.
+        Address of the service that decides which workers a queue's policy allows.
     keep_s : float
-        How long an ended job is remembered.
+        How long an ended job is kept.
     grace_s : float
-        A shutdown ends within it; then the process is killed.
+        Time within which a shutdown ends; the process is killed after it.
     """
 
     role: Literal["job-entry"]
@@ -222,12 +225,12 @@
 
 
 class JobAttendantSettings(JobDaemonSettings):
-    """An attendant beside a worker that runs jobs' tasks.
+    """Settings of an attendant next to a worker that runs the tasks of jobs.
 
     Parameters
     ----------
     heartbeats : Address
-        Where the worker reports about itself.
+        Address that receives the worker's heartbeats.
     """
 
     role: Literal["job-attendant"]
@@ -235,7 +238,7 @@
 
 
 class ServiceSettings(_Model):
-    """The instances of a deployment's service."""
+    """The upstream instances of a deployment's service."""
 
     instances: int = Field(gt=0)
     slots: int = Field(gt=0)
@@ -253,7 +256,7 @@
 
 
 class AllowanceSettings(_Model):
-    """One line of the allowances as a deployment begins."""
+    """The initial allowance of a plan in a deployment."""
 
     processors: float = Field(ge=0)
     memory_gb: float = Field(ge=0)
@@ -262,12 +265,12 @@
 
 
 class Deployment(_Model):
-    """A whole user's deployment, for the demo and the load tool.
+    """A complete deployment of a user, for the demo and the load tool.
 
     Parameters
     ----------
     default_plan : str
-        The plan of customers that a trace names and the lists do not.
+        Plan of customers that are in a trace, but not in the lists.
     """
 
     name: str
