--- a/tests/jobs/callers.feature
+++ b/tests/jobs/callers.feature
@@ -1,7 +1,7 @@
-Feature: Callers learn the truth about their jobs
+Feature: Callers get the true state of their jobs
 
   Scenario: A job is cancelled while it runs
-    # Guards against tasks that run on after their job was cancelled at any entry.
+    # Guards against tasks that keep running after their job was cancelled at any entry.
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 4 tasks of 60 s is handed in at entry-1
     And 1 s pass
@@ -10,28 +10,29 @@
     Then the state of the job "a" at entry-1 is "cancelled"
     And nothing runs
 
-  Scenario: A job that nobody handed in
+  Scenario: A job that was never submitted
     Given two entries and 1 workers for jobs
     And 1 s pass
     Then the state of the job "nobody" at entry-1 is "410"
     And the job "nobody" is cancelled at entry-1 with status 410
 
   Scenario: A job whose tasks fail
-    # Guards against attempts beyond those that the queue allows.
+    # Guards against more attempts than the queue allows.
     Given two entries and 2 workers for jobs
     When the failing job "a" of 1 steps with 1 tasks of 1 s is handed in at entry-1
     Then the job "a" is "failed" within 10 s
     And the task of "a" was started 2 times
 
-  Scenario: A job is handed in with little time left
-    # Guards against an internal error for a caller with 150 ms left, enough to store a job.
+  Scenario: A job is submitted with a short deadline
+    # Guards against an internal error for a deadline of 150 ms, which is long enough to
+    # store a job.
     Given two entries and 2 workers for jobs
     And 1 s pass
     Then the job "a" handed in at entry-1 with 150 ms left is answered 200
     And the job "a" is "completed" within 5 s
 
-  Scenario: A queue is dropped from the config
-    # Guards against an entry that goes on serving a dropped queue.
+  Scenario: A queue is removed from the config
+    # Guards against an entry that continues to serve a removed queue.
     Given two entries and 1 workers for jobs
     And 1 s pass
     And the operator moves the queue to the path "/other/"
@@ -39,14 +40,14 @@
     Then the job "a" of 1 steps with 1 tasks of 1 s is not found at entry-1
     And the job "a" of 1 steps with 1 tasks of 1 s is not found at entry-2
 
-  Scenario: A description that cannot be run
-    # Guards against bad input that is stored, or refused without naming its field.
+  Scenario: An invalid job is rejected
+    # Guards against invalid input that is stored, or rejected without naming its field.
     Given two entries and 1 workers for jobs
     And 1 s pass
     Then a job whose step comes after itself is rejected naming "steps[0].after"
 
-  Scenario: Tasks that last are started again however they end
-    # Guards against a service that stays away after its worker crashed.
+  Scenario: Tasks of a service are restarted however they end
+    # Guards against a service that is not restarted after its worker crashed.
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 2 tasks of 1 s is handed in at entry-1
     And 2 s pass
@@ -55,8 +56,8 @@
     Then 2 tasks run
     And the job "a" is cancelled at entry-1 with status 200
 
-  Scenario: A gang waits until all of it has room
-    # Guards against a gang that is started by halves.
+  Scenario: A gang waits until there is room for all its tasks
+    # Guards against starting only some of the tasks of a gang.
     Given two entries and 1 workers for jobs
     When the job "a" of 1 steps with 7 tasks of 3 s is handed in at entry-1
     And 500 ms pass
@@ -66,15 +67,16 @@
     And the job "g" is "completed" within 10 s
 
   Scenario: A job with occurrences
-    # Guards against occurrences that start early, or only when something else happens.
+    # Guards against occurrences that start early, or only after an unrelated event.
     Given two entries and 1 workers for jobs
     And 1 s pass
     When the job "a" is handed in at entry-1 to run 3 times, every 2 s
     Then the job "a" is "completed" within 20 s
     And each occurrence of "a" began at its time
 
-  Scenario: A job that ended long ago is forgotten
-    # Guards against rows removed in an order in which a crash makes an old job look new.
+  Scenario: A job that ended long ago is removed
+    # Guards against removing rows in an order that makes an old job look new after a
+    # crash.
     Given two entries and 1 workers for jobs
     When the job "a" of 1 steps with 1 tasks of 1 s is handed in at entry-1
     Then the job "a" is "completed" within 10 s
--- a/tests/settings/bad_input.feature
+++ b/tests/settings/bad_input.feature
@@ -1,7 +1,8 @@
-Feature: Bad settings are refused with file, line and the nearest known key
+Feature: Invalid settings are rejected with file, line and the closest known key
 
   Scenario: Unknown keys, a bad address and a missing key
-    # An operator mistypes. Every fault is shown at once, and nothing starts.
+    # An operator makes several mistakes in one file. All are reported at once, before
+    # anything starts.
     Given a settings file with these lines
       """
       role: entry
--- a/tests/steps/input_steps.py
+++ b/tests/steps/input_steps.py
@@ -1,4 +1,4 @@
-"""Steps on files that people write."""
+"""Steps for settings files and traces with errors."""
 
 from __future__ import annotations
 
--- a/tests/steps/slow_link_steps.py
+++ b/tests/steps/slow_link_steps.py
@@ -1,4 +1,4 @@
-"""Steps on links that carry little."""
+"""Steps for links with a low bandwidth."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 _KB = 1000.0
 
 
-@step("the link of {name} carries {kilobytes:d} kB a second")
+@step("the link of {name} has a bandwidth of {kilobytes:d} kB/s")
 def limit_link(context, name, kilobytes):
     context.world.fabric.faults(name).link.bytes_per_s = kilobytes * _KB
 
@@ -28,9 +28,9 @@
 def wait_for_config(context, name, seconds):
     cell = context.world.cell
     version = cell.rows.value_of("op", "", "config")["version"]
-    give_up = context.world.now() + seconds
+    deadline = context.world.now() + seconds
     while cell.entry_by_name[name].holder.current.version != version:
-        assert context.world.now() < give_up, f"not within {seconds} s"
+        assert context.world.now() < deadline, f"not within {seconds} s"
         context.world.advance(0.05)
 
 
@@ -41,13 +41,13 @@
 
 
 @when("{name} is cut off from everything")
-def cut_off_for_good(context, name):
+def cut_off(context, name):
     fabric = context.world.fabric
     others = {*context.world.cell.scope_by_name, "store"} - {name}
     fabric.cut |= {frozenset((name, other)) for other in others}
 
 
-@when("{name} is reached again")
+@when("{name} is reachable again")
 def reconnect(context, name):
     fabric = context.world.fabric
     fabric.cut -= {ends for ends in fabric.cut if name in ends}
@@ -68,24 +68,24 @@
 def check_not_ready(context, name, seconds):
     context.world.advance(seconds)
 
-    async def look():
+    async def read_state():
         return context.world.cell.entry_by_name[name].is_ready
 
-    assert not context.world.run(look)
+    assert not context.world.run(read_state)
 
 
 @then("{name} is ready within {seconds:d} s, and knows all {count:d} jobs")
 def wait_until_ready(context, name, seconds, count):
     world = context.world
-    give_up = world.now() + seconds
+    deadline = world.now() + seconds
     ids = {job_id(f"l{number}") for number in range(count)}
     daemon = world.cell.entry_by_name[name]
 
-    async def look():
+    async def read_state():
         return daemon.is_ready, len(ids & daemon.view.job_by_id.keys())
 
-    while (seen := world.run(look)) != (True, count):
-        assert world.now() < give_up, f"ready, jobs known: {seen}"
+    while (state := world.run(read_state)) != (True, count):
+        assert world.now() < deadline, f"ready, jobs known: {state}"
         world.advance(0.1)
 
 
