--- a/coltsfoottray/jobs/api.py
+++ b/coltsfoottray/jobs/api.py
@@ -210,13 +210,13 @@
         """
         started = self._clock.elapsed()
         is_uncertain = False
-        is_attempted = False
+        is_in_flight = False
         time_left = max(deadline - _ANSWER_MARGIN, deadline / 2)
         if self._mirror.failing_for() > _TABLE_DOWN_AFTER:
             return _NOT_DONE
         with trio.move_on_after(time_left.total_seconds()):
             while True:
-                is_attempted = True
+                is_in_flight = True
                 try:
                     outcome = await self._table.commit(transaction)
                     if isinstance(outcome, Failure):
@@ -224,7 +224,7 @@
                     return _DONE
                 except TableUnavailable as error:
                     is_uncertain = is_uncertain or not error.is_unwritten
-                    is_attempted = False
+                    is_in_flight = False
                     log_event("jobs:write-failed", reason=str(error))
                 waited = self._clock.elapsed() - started
                 if not is_uncertain and waited > _MAX_RETRY_TIME:
@@ -233,4 +233,4 @@
                     return _UNKNOWN
                 await self._clock.sleep(_RETRY_INTERVAL)
         # A write that was interrupted by the deadline may still take effect.
-        return _UNKNOWN if is_uncertain or is_attempted else _NOT_DONE
+        return _UNKNOWN if is_uncertain or is_in_flight else _NOT_DONE
--- a/coltsfoottray/settings/__init__.py
+++ b/coltsfoottray/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: YAML files, validated before any service starts."""
+"""Settings: YAML files, validated before the daemon starts."""
 
 from __future__ import annotations
 
