--- a/coltsfoottray/agent/attendant.py
+++ b/coltsfoottray/agent/attendant.py
@@ -10,10 +10,10 @@
 
 from coltsfoottray.agent.executor import AttendantState, OrderExecutor, OrderScope
 from coltsfoottray.agent.lease import WorkerLease
-from coltsfoottray.agent.reach import WorkerReach
+from coltsfoottray.agent.liveness import WorkerLiveness
 from coltsfoottray.agent.runs import Runs
-from coltsfoottray.agent.speeds import SpeedControl
-from coltsfoottray.agent.stalls import StallWatch
+from coltsfoottray.agent.speeds import SpeedController
+from coltsfoottray.agent.stalls import StallDetector
 from coltsfoottray.agent.worker import (
     Heartbeat,
     WorkerLink,
@@ -74,17 +74,17 @@
         self._runs = Runs()
         self._epoch = 0
         self._session = 0
-        self._looked = 0
+        self._polled_session = 0
         self._acknowledged = 0
         # How many reports were made.
         self._reports = 0
         # Whether the lease of a worker that does not answer was seen to be over.
         self._has_lapsed = False
-        self._reach = WorkerReach()
+        self._liveness = WorkerLiveness()
         self._lease = WorkerLease(started=clock.elapsed())
-        self._speeds = SpeedControl(link=link, clock=clock)
+        self._speeds = SpeedController(link=link, clock=clock)
         self._paced = timedelta(0)
-        self._stalls = StallWatch()
+        self._stalls = StallDetector()
         self._stalled: list[RunRef] = []
         self._executor = OrderExecutor(
             link=link,
@@ -96,7 +96,7 @@
         )
         self._nursery: trio.Nursery | None = None
         self._session_begun = trio.Event()
-        self.news = trio.Event()
+        self.report_requested = trio.Event()
         # Whether the scheduler has yet to store that the worker is back.
         self.is_lease_pending = False
 
@@ -111,7 +111,7 @@
                     with trio.move_on_after(_RETRY.total_seconds()):
                         await self._session_begun.wait()
                 else:
-                    await self._look(self._beat)
+                    await self._poll_worker(self._beat)
                 self._notice_lapse()
 
     # What the worker says.
@@ -128,7 +128,7 @@
                     life=heartbeat.life,
                     remaining_s=heartbeat.remaining.total_seconds(),
                 )
-                self.tell()
+                self.request_report()
             self._beat = heartbeat
             return
         if known is not None and heartbeat.born_ms <= known.born_ms:
@@ -141,57 +141,57 @@
         """Hear that the worker is about to end."""
         if self._beat is not None and self._beat.life.startswith(f"{life_id}/"):
             log_event("worker:leaves", life=self._beat.life)
-            self._reach.note_leave(self._clock.elapsed())
+            self._liveness.record_deregistration(self._clock.elapsed())
 
     def _begin_life(self, heartbeat: Heartbeat) -> None:
         self._beat = heartbeat
         self._runs = Runs()
-        self._looked = 0
+        self._polled_session = 0
         self._acknowledged = 0
-        self._lease.begin_life()
-        self._speeds.begin_life()
-        self._reach.begin_life()
+        self._lease.reset_clock()
+        self._speeds.reset()
+        self._liveness.reset()
         self._has_lapsed = False
-        self.tell()
+        self.request_report()
 
-    async def _look(self, heartbeat: Heartbeat) -> None:
+    async def _poll_worker(self, heartbeat: Heartbeat) -> None:
         asked = self._clock.elapsed()
         session = self._session
         try:
             poll = await self._link.poll(
                 heartbeat=heartbeat,
                 fence=session,
-                lease_end_ms=self.lease_ms(asked),
+                lease_end_ms=self.issue_lease(asked),
                 acknowledged=self._ends_to_forget(),
                 wait=_LOOK_WAIT if self._lease.is_clock_known else timedelta(0),
             )
         except (CommunicationError, WorkerReplaced) as error:
-            if self._reach.note_failure(error, asked):
+            if self._liveness.record_failure(error, asked):
                 log_event("worker:lost", life=heartbeat.life, reason=str(error))
             if isinstance(error, WorkerReplaced):
-                self.note_replaced(error)
+                self.handle_replacement(error)
             await self._clock.sleep(_RETRY)
             return
         if self._beat is None or heartbeat.life != self._beat.life:
             return
         self._has_lapsed = False
-        if self._reach.note_answer(asked):
+        if self._liveness.record_answer(asked):
             log_event("worker:reached", life=heartbeat.life)
             # While it did not answer, its lease was not renewed.
-            self.tell()
-        self._lease.take_reading(poll.clock)
+            self.request_report()
+        self._lease.set_reading(poll.clock)
         self._metrics.time("look", self._clock.elapsed() - asked)
-        left = self._lease.left(self._clock.elapsed())
+        left = self._lease.remaining_grant(self._clock.elapsed())
         self._metrics.gauge("lease_left_seconds", left.total_seconds())
         self._metrics.gauge("runs_there", len(poll.running))
-        has_news = self._runs.take(poll, asked=asked)
-        if has_news or self._looked != session:
-            self._looked = session
-            self.tell()
+        has_news = self._runs.apply_poll(poll, asked=asked)
+        if has_news or self._polled_session != session:
+            self._polled_session = session
+            self.request_report()
         if asked - self._paced >= _LOOK_WAIT * 0.8:
             self._paced = asked
             self._find_stalls(asked)
-            await self._speeds.take_look(heartbeat, self._runs, self._session)
+            await self._speeds.update(heartbeat, self._runs, self._session)
         if poll.ends:
             # With ends that are not acknowledged yet a look returns at once.
             await self._clock.sleep(_RETRY)
@@ -204,7 +204,7 @@
         nothing is forgotten by a look that may be the first to reach another life.
         """
         is_pending = any(e.number <= self._acknowledged for e in self._runs.ends)
-        return self._acknowledged if is_pending and self._reach.is_answering else 0
+        return self._acknowledged if is_pending and self._liveness.is_answering else 0
 
     def _notice_lapse(self) -> None:
         """Let go of the runs of a worker that is silent past its lease.
@@ -212,19 +212,19 @@
         It is told at once, and again with each report: the scheduler that hears it
         first may be replaced before it has stored it.
         """
-        if self._reach.is_answering or self._has_lapsed:
+        if self._liveness.is_answering or self._has_lapsed:
             return
-        is_over = self._reach.is_over
-        if self._lease.left_to_run(self._clock.elapsed()) and not is_over:
+        has_ended = self._liveness.has_ended
+        if self._lease.remaining_issued(self._clock.elapsed()) and not has_ended:
             return
         life = "" if self._beat is None else self._beat.life
-        log_event("worker:lease-lapsed", life=life, is_over=is_over)
+        log_event("worker:lease-lapsed", life=life, is_over=has_ended)
         self._has_lapsed = True
-        self._lease.end()
+        self._lease.mark_ended()
         self._runs = Runs()
         self._metrics.gauge("lease_left_seconds", 0.0)
         self._metrics.gauge("runs_there", 0)
-        self.tell()
+        self.request_report()
 
     def _find_stalls(self, now: timedelta) -> None:
         known = set(self._stalled)
@@ -237,7 +237,7 @@
         new = [str(ref) for ref in self._stalled if ref not in known]
         if new:
             log_event("worker:stalled", runs=new)
-            self.tell()
+            self.request_report()
 
     # What the scheduler says.
 
@@ -254,9 +254,9 @@
         """
         runs = self._runs
         heartbeat = self._beat
-        if heartbeat is None or not self._reach.is_answering:
-            self._lease.withdraw()
-        left = self._lease.left_to_run(self._clock.elapsed())
+        if heartbeat is None or not self._liveness.is_answering:
+            self._lease.limit_to_issued()
+        left = self._lease.remaining_issued(self._clock.elapsed())
         self._reports += 1
         report = Report(
             worker=self._name,
@@ -266,9 +266,9 @@
             address=self._address,
             data_centre=self._data_centre,
             session=self._session,
-            looked=self._looked,
+            looked=self._polled_session,
             running=runs.running,
-            starting=runs.open_starts(),
+            starting=runs.unconfirmed_starts(),
             ends=runs.ends,
             rejected=list(runs.rejected_by_ref.values()),
             stalled=self._stalled,
@@ -286,8 +286,8 @@
             rack=heartbeat.rack,
             is_draining=heartbeat.is_draining,
             remaining_ms=heartbeat.remaining.total_seconds() * 1000,
-            is_reachable=self._reach.is_answering,
-            is_replaced=self._reach.is_replaced,
+            is_reachable=self._liveness.is_answering,
+            is_replaced=self._liveness.is_replaced,
         )
 
     def take_reply(self, report: Report, reply: ReportReply, sent: timedelta) -> bool:
@@ -308,7 +308,7 @@
             return False
         self._epoch = reply.epoch
         self._lease.grant(sent + timedelta(milliseconds=reply.lease_ms))
-        self._speeds.share(reply.pressures)
+        self._speeds.set_shared_pressures(reply.pressures)
         for rejected in report.rejected:
             self._runs.rejected_by_ref.pop(rejected.ref, None)
         if reply.orders.session != self._session:
@@ -329,7 +329,7 @@
         self._session = session
         if self._has_lapsed:
             # Only in the session that it granted a scheduler believes it.
-            self.tell()
+            self.request_report()
         self._session_begun.set()
         self._session_begun = trio.Event()
         self._runs.starting.clear()
@@ -350,7 +350,7 @@
         for order in orders.starts:
             if order.ref in self._runs.stopped_by_ref:
                 continue
-            is_repeat = self._runs.is_there(order.ref)
+            is_repeat = self._runs.is_known(order.ref)
             self._runs.order_by_ref[order.ref] = order
             if not is_repeat:
                 self._runs.starting.add(order.ref)
@@ -365,29 +365,29 @@
     def is_current(self, scope: OrderScope) -> bool:  # noqa: D102
         return scope.session == self._session and scope.runs is self._runs
 
-    def has_looked(self, scope: OrderScope) -> bool:  # noqa: D102
-        return self._looked == scope.session
+    def has_polled(self, scope: OrderScope) -> bool:  # noqa: D102
+        return self._polled_session == scope.session
 
     @property
     def is_draining(self) -> bool:  # noqa: D102
         return self._beat is None or self._beat.is_draining
 
-    def lease_ms(self, now: timedelta) -> int:
+    def issue_lease(self, now: timedelta) -> int:
         """Return the end of the lease on the worker's clock, 0 for no change.
 
         Of a worker that does not answer the lease has to run out.
         """
-        return self._lease.tell(now) if self._reach.is_answering else 0
+        return self._lease.issue(now) if self._liveness.is_answering else 0
 
-    def note_replaced(self, error: WorkerReplaced) -> None:
+    def handle_replacement(self, error: WorkerReplaced) -> None:
         """Tell the scheduler of another life under the worker's id at once.
 
         What it has taken outlasts the lease of the one before. Were this attendant to
         die with the news, the scheduler would count that lease alone.
         """
         is_current = self._beat is not None and self._beat.life == error.life
-        if is_current and self._reach.note_replaced(error):
-            self.tell()
+        if is_current and self._liveness.record_replacement(error):
+            self.request_report()
 
-    def tell(self) -> None:  # noqa: D102
-        self.news.set()
+    def request_report(self) -> None:  # noqa: D102
+        self.report_requested.set()
--- a/coltsfoottray/agent/executor.py
+++ b/coltsfoottray/agent/executor.py
@@ -8,7 +8,7 @@
 
 from coltsfoottray.agent.lease import WorkerLease
 from coltsfoottray.agent.runs import Runs
-from coltsfoottray.agent.speeds import SpeedControl
+from coltsfoottray.agent.speeds import SpeedController
 from coltsfoottray.agent.worker import (
     Heartbeat,
     Refusal,
@@ -51,7 +51,7 @@
         """Whether neither the session nor the worker's life has changed."""
 
     @abc.abstractmethod
-    def has_looked(self, scope: OrderScope) -> bool:
+    def has_polled(self, scope: OrderScope) -> bool:
         """Whether the worker has shown in the session what it runs."""
 
     @property
@@ -60,15 +60,15 @@
         """Whether the worker takes nothing new."""
 
     @abc.abstractmethod
-    def lease_ms(self, now: timedelta) -> int:
+    def issue_lease(self, now: timedelta) -> int:
         """Return the end of the lease on the worker's clock, 0 for no change."""
 
     @abc.abstractmethod
-    def note_replaced(self, error: WorkerReplaced) -> None:
+    def handle_replacement(self, error: WorkerReplaced) -> None:
         """Note that another life of the worker has answered."""
 
     @abc.abstractmethod
-    def tell(self) -> None:
+    def request_report(self) -> None:
         """Report to the scheduler soon."""
 
 
@@ -89,7 +89,7 @@
         link: WorkerLink,
         state: AttendantState,
         lease: WorkerLease,
-        speeds: SpeedControl,
+        speeds: SpeedController,
         clock: Clock,
         metrics: Metrics,
     ) -> None:
@@ -117,8 +117,8 @@
                 await self._refuse(order, reason, scope, is_open=True)
                 return
             now = self._clock.elapsed()
-            lease_end_ms = self._state.lease_ms(now)
-            if not lease_end_ms or self._lease.left(now) < _MIN_LEASE:
+            lease_end_ms = self._state.issue_lease(now)
+            if not lease_end_ms or self._lease.remaining_grant(now) < _MIN_LEASE:
                 await self._clock.sleep(_RETRY)
                 continue
             try:
@@ -142,7 +142,7 @@
                 # again finds out, and begins no second one.
                 unanswered += 1
                 if isinstance(error, WorkerReplaced):
-                    self._state.note_replaced(error)
+                    self._state.handle_replacement(error)
                 log_event(
                     "worker:start-unanswered", run=str(order.ref), reason=str(error)
                 )
@@ -191,15 +191,15 @@
         # Told as the run's end, the refusal of a start that was asked for again hid how
         # the run had ended, or that it was at work. A later look shows either.
         if self._may_be_repeat(order.ref, reason, scope):
-            scope.runs.refuse(order.ref, reason, self._clock.elapsed())
+            scope.runs.record_refusal(order.ref, reason, self._clock.elapsed())
             return
-        scope.runs.reject(order.ref, reason)
-        self._state.tell()
+        scope.runs.record_rejection(order.ref, reason)
+        self._state.request_report()
 
     def _may_be_repeat(self, ref: RunRef, reason: Refusal, scope: OrderScope) -> bool:
         """Whether the run may have been started here before, in another session."""
         is_known_there = reason is Refusal.OLD or scope.runs.is_running(ref)
-        return is_known_there or not self._state.has_looked(scope)
+        return is_known_there or not self._state.has_polled(scope)
 
     async def stop(self, ref: RunRef, scope: OrderScope) -> None:
         """Stop a run, asking again until the worker has answered."""
--- a/coltsfoottray/agent/learning.py
+++ b/coltsfoottray/agent/learning.py
@@ -17,7 +17,7 @@
 
 from coltsfoottray.agent.margins import MarginFilter
 from coltsfoottray.agent.pressure import (
-    UNKNOWN,
+    PRIOR,
     Estimate,
     ImagePair,
     Pressure,
@@ -144,7 +144,7 @@
         # What fillers of an image use, smoothed as the latency is.
         self._smooth_by_image: dict[str, float] = {}
 
-    def share(self, pressures: Iterable[Pressure]) -> None:
+    def set_shared_pressures(self, pressures: Iterable[Pressure]) -> None:
         """Take in what others have learned."""
         self._shared_by_pair = {
             each.pair: Estimate(
@@ -155,7 +155,7 @@
             if each.weight > 0
         }
 
-    def own(self) -> list[Pressure]:
+    def local_pressures(self) -> list[Pressure]:
         """Return what was learned here."""
         pressures = []
         for image, known in self._filter_by_image.items():
@@ -181,7 +181,7 @@
             return Estimate(value=known.mean[state], spread=spread)
         return self._first(ImagePair(filler=filler, service=service))
 
-    def undisturbed(self, observation: Observation) -> float:
+    def undisturbed_margin(self, observation: Observation) -> float:
         """Return the margin a service will have without fillers until the next look."""
         known = self._filter_by_image.get(observation.image)
         state = _MARGIN + observation.job
@@ -191,11 +191,11 @@
         own = self._service_by_run.get(observation.service)
         return ahead + (0.0 if own is None else min(own.deviation, 0.0))
 
-    def usual(self, observation: Observation) -> float:
+    def usual_margin(self, observation: Observation) -> float:
         """Return the margin a service has without fillers most of the time."""
         return self._usual_by_job.get(observation.job, observation.margin)
 
-    def least(self, observation: Observation) -> float:
+    def least_margin(self, observation: Observation) -> float:
         """Return the margin a service has without fillers at the peaks of its load."""
         return self._least_by_job.get(observation.job, observation.margin)
 
@@ -315,7 +315,7 @@
 
     def _first(self, pair: ImagePair) -> Estimate:
         """Return with what a pair begins here."""
-        return self._shared_by_pair.get(pair, UNKNOWN)
+        return self._shared_by_pair.get(pair, PRIOR)
 
 
 def _recover(
--- a/coltsfoottray/agent/lease.py
+++ b/coltsfoottray/agent/lease.py
@@ -35,11 +35,11 @@
         self._told = started + _WORKER_HORIZON
         self._reading: ClockReading | None = None
 
-    def begin_life(self) -> None:
+    def reset_clock(self) -> None:
         """Forget the clock of another life."""
         self._reading = None
 
-    def take_reading(self, reading: ClockReading) -> None:
+    def set_reading(self, reading: ClockReading) -> None:
         """Take in a reading of the worker's clock."""
         self._reading = reading
 
@@ -47,7 +47,7 @@
         """Take in a grant of the scheduler; a shorter one changes nothing."""
         self._granted = max(self._granted, end)
 
-    def left(self, now: timedelta) -> timedelta:
+    def remaining_grant(self, now: timedelta) -> timedelta:
         """Return how much of the grant is left."""
         return max(self._granted - now, _NOTHING)
 
@@ -56,19 +56,19 @@
         """Whether the worker can be told an end on its own clock."""
         return self._reading is not None
 
-    def left_to_run(self, now: timedelta) -> timedelta:
+    def remaining_issued(self, now: timedelta) -> timedelta:
         """Return for how long the worker may still run by what it was told."""
         return max(self._told - now, _NOTHING)
 
-    def withdraw(self) -> None:
+    def limit_to_issued(self) -> None:
         """Tell the worker no more than it was told, until there is another grant."""
         self._granted = min(self._granted, self._told)
 
-    def end(self) -> None:
+    def mark_ended(self) -> None:
         """Note that nothing runs there any more."""
         self._told = _NOTHING
 
-    def tell(self, now: timedelta) -> int:
+    def issue(self, now: timedelta) -> int:
         """Return the end to tell the worker, on its clock; 0 for none.
 
         The reading was made before it arrived here, so that the clock is at least
--- a/coltsfoottray/agent/reach.py
+++ b/coltsfoottray/agent/liveness.py
@@ -7,14 +7,14 @@
 from coltsfoottray.agent.worker import WorkerReplaced
 from coltsfoottray.errors import CommunicationError
 
-__all__ = ["WorkerReach"]
+__all__ = ["WorkerLiveness"]
 
 # A worker that still answers so long after it said that it leaves has not meant it:
 # the word was a late one of an earlier life.
 _LEAVE_TIME = timedelta(seconds=2)
 
 
-class WorkerReach:
+class WorkerLiveness:
     """What calls to one life of a worker have shown.
 
     Attributes
@@ -29,19 +29,19 @@
 
     def __init__(self) -> None:
         self.is_answering = False
-        self.is_over = False
+        self.has_ended = False
         self.is_replaced = False
         # When it said that it leaves.
         self._left: timedelta | None = None
 
-    def begin_life(self) -> None:
+    def reset(self) -> None:
         """Note that a life has reported itself."""
         self.is_answering = True
-        self.is_over = False
+        self.has_ended = False
         self.is_replaced = False
         self._left = None
 
-    def note_leave(self, now: timedelta) -> None:
+    def record_deregistration(self, now: timedelta) -> None:
         """Note the worker's word that it is about to end.
 
         Its runs end with it; that nobody listens there any more confirms it. The word
@@ -50,7 +50,7 @@
         """
         self._left = now
 
-    def note_answer(self, asked: timedelta) -> bool:
+    def record_answer(self, asked: timedelta) -> bool:
         """Note that a call made at `asked` was answered; return whether it is news."""
         was_answering = self.is_answering
         self.is_answering = True
@@ -59,7 +59,7 @@
             self._left = None
         return not was_answering
 
-    def note_failure(
+    def record_failure(
         self, error: CommunicationError | WorkerReplaced, asked: timedelta
     ) -> bool:
         """Note that a call made at `asked` failed; return whether that is news."""
@@ -68,13 +68,13 @@
         if isinstance(error, WorkerReplaced):
             # A new life under the same id may have taken orders meant for this one:
             # what became of them is settled once it has reported itself.
-            self.is_over = not error.takes_orders
+            self.has_ended = not error.takes_orders
         else:
             has_left = self._left is not None and asked >= self._left
-            self.is_over = has_left and error.is_refused
+            self.has_ended = has_left and error.is_refused
         return was_answering
 
-    def note_replaced(self, error: WorkerReplaced) -> bool:
+    def record_replacement(self, error: WorkerReplaced) -> bool:
         """Note that another life has answered; return whether that is news."""
         is_news = error.takes_orders and not self.is_replaced
         self.is_replaced |= error.takes_orders
--- a/coltsfoottray/agent/pacing.py
+++ b/coltsfoottray/agent/pacing.py
@@ -97,9 +97,9 @@
         """Return by service image the least margins without fillers."""
         margin_by_image: dict[str, ServiceMargin] = {}
         for each in observations:
-            now = self._learner.undisturbed(each)
-            usual = self._learner.usual(each)
-            least = self._learner.least(each)
+            now = self._learner.undisturbed_margin(each)
+            usual = self._learner.usual_margin(each)
+            least = self._learner.least_margin(each)
             other = margin_by_image.get(each.image)
             if other is not None:
                 now, usual = min(now, other.now), min(usual, other.usual)
@@ -119,7 +119,7 @@
                     image=each.image,
                     latency_ms=each.latency_ms,
                     target_ms=each.target_ms,
-                    undisturbed=round(self._learner.undisturbed(each), 2),
+                    undisturbed=round(self._learner.undisturbed_margin(each), 2),
                     fillers={
                         image: [
                             percent,
@@ -145,7 +145,7 @@
                 light_by_image[image] = upper_bound * share
             else:
                 heavy_by_image[image] = upper_bound * share
-        margin = self._learner.undisturbed(observation)
+        margin = self._learner.undisturbed_margin(observation)
         light = sum(light_by_image.values())
         light_percent = self._percent_of_light(observation, light, margin)
         allowed = dict.fromkeys(light_by_image, light_percent)
--- a/coltsfoottray/agent/pressure.py
+++ b/coltsfoottray/agent/pressure.py
@@ -17,8 +17,8 @@
 
 __all__ = [
     "MAX_LIGHT_PRESSURE",
+    "PRIOR",
     "SERVICE_USE",
-    "UNKNOWN",
     "Estimate",
     "ImagePair",
     "Pressure",
@@ -88,7 +88,7 @@
         return max(self.value + spreads * self.spread, 0.0)
 
 
-UNKNOWN = Estimate(value=2.5, spread=5.0)
+PRIOR = Estimate(value=2.5, spread=5.0)
 """Taken for a pair not seen yet, which may be light or heavy."""
 
 
@@ -137,7 +137,7 @@
     def get(self, filler: str, service: str) -> Estimate:
         """Return what is known of a pair, a guess where it was never seen."""
         pair = ImagePair(filler=filler, service=service)
-        return self._estimate_by_pair.get(pair, UNKNOWN)
+        return self._estimate_by_pair.get(pair, PRIOR)
 
     def all(self) -> list[Pressure]:
         """Return every known pair."""
--- a/coltsfoottray/agent/reporter.py
+++ b/coltsfoottray/agent/reporter.py
@@ -59,7 +59,7 @@
             self._epoch = hello.epoch
             self._scheduler = hello.scheduler
             self._attempt.cancel()
-            self._attendant.news.set()
+            self._attendant.report_requested.set()
         return Acknowledged()
 
     async def run(  # noqa: D102
@@ -67,7 +67,7 @@
     ) -> None:
         task_status.started()
         while True:
-            self._attendant.news = trio.Event()
+            self._attendant.report_requested = trio.Event()
             is_answered = False
             with trio.CancelScope() as self._attempt:
                 is_answered = await self._report()
@@ -75,10 +75,10 @@
                 continue
             if not is_answered or self._attendant.is_lease_pending:
                 with trio.move_on_after(_RETRY.total_seconds()):
-                    await self._attendant.news.wait()
+                    await self._attendant.report_requested.wait()
                 continue
             with trio.move_on_after(_PERIOD.total_seconds()):
-                await self._attendant.news.wait()
+                await self._attendant.report_requested.wait()
 
     async def _report(self) -> bool:
         """Report once; return whether the scheduler has answered."""
--- a/coltsfoottray/agent/runs.py
+++ b/coltsfoottray/agent/runs.py
@@ -52,7 +52,7 @@
     ends: list[RunEnd] = field(default_factory=list)
     rejected_by_ref: dict[RunRef, RejectedStart] = field(default_factory=dict)
 
-    def is_there(self, ref: RunRef) -> bool:
+    def is_known(self, ref: RunRef) -> bool:
         """Whether a start of the run would be a repeat."""
         return (
             ref in self.starting
@@ -66,22 +66,22 @@
         """Whether the last look showed the run at work."""
         return any(status.ref == ref for status in self.running)
 
-    def open_starts(self) -> list[RunRef]:
+    def unconfirmed_starts(self) -> list[RunRef]:
         """Return the starts of which no look has shown yet what became of them."""
         return [*self.starting, *self.started_by_ref, *self.refused_by_ref]
 
-    def refuse(self, ref: RunRef, reason: Refusal, now: timedelta) -> None:
+    def record_refusal(self, ref: RunRef, reason: Refusal, now: timedelta) -> None:
         """Note that a start was refused, which leaves open what became of the run."""
         self.starting.discard(ref)
         self.refused_by_ref[ref] = RefusedStart(reason=reason, refused=now)
 
-    def reject(self, ref: RunRef, reason: Refusal) -> None:
+    def record_rejection(self, ref: RunRef, reason: Refusal) -> None:
         """Note that a run does not and will not exist here."""
         self.starting.discard(ref)
         self.order_by_ref.pop(ref, None)
         self.rejected_by_ref[ref] = RejectedStart(ref=ref, reason=reason)
 
-    def take(self, look: PollReply, *, asked: timedelta) -> bool:
+    def apply_poll(self, look: PollReply, *, asked: timedelta) -> bool:
         """Take in what a look showed; return whether there is news to report."""
         known = {end.number for end in self.ends}
         news = any(end.number not in known for end in look.ends)
@@ -117,7 +117,7 @@
             reason = self.reason_by_ref.pop(ref, Refusal.OLD)
             if ref not in ended:
                 # The run was never there, so no end will ever be listed.
-                self.reject(ref, reason)
+                self.record_rejection(ref, reason)
                 news = True
         return news
 
@@ -132,6 +132,6 @@
                 continue
             del self.refused_by_ref[ref]
             if ref not in there:
-                self.reject(ref, start.reason)
+                self.record_rejection(ref, start.reason)
                 news = True
         return news
--- a/coltsfoottray/agent/speeds.py
+++ b/coltsfoottray/agent/speeds.py
@@ -14,12 +14,12 @@
 from coltsfoottray.jobs.model import RunRef
 from coltsfoottray.logs import log_event
 
-__all__ = ["SpeedControl"]
+__all__ = ["SpeedController"]
 
 _MILLI = 1000.0
 
 
-class SpeedControl:
+class SpeedController:
     """Learns from each look and carries out what the pacer decides.
 
     Parameters
@@ -37,25 +37,25 @@
         self.percent_by_ref: dict[RunRef, int] = {}
         self.margin_by_image: dict[str, ServiceMargin] = {}
 
-    def begin_life(self) -> None:
+    def reset(self) -> None:
         """Forget the speeds that were set: another life knows nothing of them."""
         self.percent_by_ref = {}
         self._observations = []
 
     def pressures(self) -> list[Pressure]:
         """Return what was learned here."""
-        return self._learner.own()
+        return self._learner.local_pressures()
 
-    def share(self, pressures: list[Pressure]) -> None:
+    def set_shared_pressures(self, pressures: list[Pressure]) -> None:
         """Take in what others have learned."""
-        self._learner.share(pressures)
+        self._learner.set_shared_pressures(pressures)
 
     @property
     def has_services(self) -> bool:
         """Whether the last look showed services with a target."""
         return bool(self._observations)
 
-    async def take_look(self, heartbeat: Heartbeat, runs: Runs, fence: int) -> None:
+    async def update(self, heartbeat: Heartbeat, runs: Runs, fence: int) -> None:
         """Learn from the last look and set the speed of fillers by it."""
         self._observations = self._observe(heartbeat, runs)
         await self.set_speeds(heartbeat, runs, fence)
--- a/coltsfoottray/agent/stalls.py
+++ b/coltsfoottray/agent/stalls.py
@@ -14,7 +14,7 @@
 from coltsfoottray.jobs.model import RunRef
 from coltsfoottray.scheduler.messages import StartOrder
 
-__all__ = ["StallWatch"]
+__all__ = ["StallDetector"]
 
 # Three looks; a task of a second shows progress at each of them.
 _MIN_PATIENCE = timedelta(seconds=1.5)
@@ -34,7 +34,7 @@
     since: timedelta
 
 
-class StallWatch:
+class StallDetector:
     """Compares the percentages of successive looks."""
 
     def __init__(self) -> None:
