--- a/coltsfoottray/agent/worker.py
+++ b/coltsfoottray/agent/worker.py
@@ -1,4 +1,4 @@
-"""The hold that an attendant has on the worker beside it."""
+"""Interface of the calls that an attendant makes to its worker."""
 
 from __future__ import annotations
 
@@ -28,27 +28,27 @@
 
 
 class EndKind(enum.Enum):
-    """How a run ended."""
+    """Reason why a run ended."""
 
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
     LAPSED = "lapsed"
-    """The worker's lease ran out."""
+    """The worker's lease expired."""
     BROKEN = "broken"
     """Another member of its gang ended."""
     ALONE = "alone"
-    """The rest of its gang never came."""
+    """The other members of its gang did not start."""
 
 
 class Refusal(enum.Enum):
-    """Why a worker did not start a run."""
+    """Reason why a worker refused to start a run."""
 
     FENCED = "fenced"
     OLD = "old"
-    """A run as high or higher was stopped or has ended there."""
+    """A run of the task with the same or a higher number was stopped or has ended."""
     LATE = "late"
-    """The lease that the start carried is over."""
+    """The lease in the start request has expired."""
     NO_ROOM = "no-room"
     NO_TICKET = "no-ticket"
     INVALID = "invalid"
@@ -57,7 +57,7 @@
 
 
 class RunEnd(msgspec.Struct, frozen=True, kw_only=True):
-    """An end that the worker lists until it is acknowledged by `number`."""
+    """End of a run, which the worker lists until `number` is acknowledged."""
 
     number: int
     ref: RunRef
@@ -66,15 +66,15 @@
 
 
 class RunStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """A run that is there.
+    """State of a run that exists on the worker.
 
     Parameters
     ----------
     percent : float
-        How much of the work is done; for a service, 100 when it is at work.
+        Progress of the work in percent; a service reports 100 while it is serving.
     figure : float
-        For a service with users of its own their tail latency in milliseconds,
-        otherwise the processors in use, in thousandths; of the last half second.
+        For a service with users of its own, the tail latency in ms; otherwise the
+        processor usage in thousandths of a processor. Covers the last half second.
     """
 
     ref: RunRef
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ClockReading:
-    """A reading of the worker's own clock and when it arrived here."""
+    """Reading of the worker's clock, with the local time at which it was received."""
 
     reading_ms: int
     received: timedelta
@@ -93,12 +93,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PollReply:
-    """What a worker runs and what has ended there.
+    """Running and ended runs of a worker.
 
     Parameters
     ----------
-    is_whole : bool
-        Whether it lists all ends; where there are many the oldest come first.
+    ends : list of RunEnd
+        Ends that are not acknowledged, oldest first.
+    is_complete : bool
+        Whether `ends` lists all of them; a worker limits the number per reply.
     """
 
     clock: ClockReading
@@ -109,17 +111,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Heartbeat:
-    """What a worker says of itself.
+    """Report of a worker about itself.
 
     Parameters
     ----------
     life : str
-        Names this life of the worker; after a crash it is another one.
+        Identifies this incarnation of the worker; a restart begins a new one.
     born_ms : int
-        When this life began, in milliseconds since 1970: of two lives the later
-        one counts, whichever report arrives last.
+        Start of this incarnation in milliseconds since 1970. The later of two
+        incarnations is current, regardless of the order in which reports arrive.
     remaining : timedelta
-        While draining, the least time that is left.
+        Minimum time until a draining worker shuts down.
     """
 
     life: str
@@ -137,27 +139,28 @@
 
 @dataclass(kw_only=True)
 class WorkerReplaced(ColtsfoottrayError):
-    """Another life of the worker answers at its address.
+    """Another incarnation of the worker answered at its address.
 
     Parameters
     ----------
     life : str
-        The one that was called.
+        The incarnation that was called.
     takes_orders : bool
-        Whether the other one has the same id, and so takes orders meant for it.
+        Whether the other incarnation has the same id, and therefore accepts orders
+        that are meant for the one that was called.
     """
 
     life: str
     takes_orders: bool
 
     def __str__(self) -> str:
-        now = "has started again" if self.takes_orders else "is no longer there"
-        return f"{self.life} {now}"
+        state = "has restarted" if self.takes_orders else "was replaced"
+        return f"worker {self.life} {state}"
 
 
 @dataclass(kw_only=True)
 class StartRefused(ColtsfoottrayError):
-    """The worker certainly did not start the run."""
+    """The worker refused to start a run, and has not started it."""
 
     reason: Refusal
 
@@ -168,9 +171,12 @@
 class WorkerLink(abc.ABC):
     """Calls to one worker.
 
-    Each call names the life of the worker that it is meant for and raises
-    `WorkerReplaced` if another one answers, `CommunicationError` if no answer
-    came: the order may then have been carried out, or may still be, seconds later.
+    Each call identifies the incarnation of the worker that it is meant for and raises
+    `WorkerReplaced` if another one answers. `CommunicationError` means that no answer
+    was received: the worker may have executed the order, or may do so seconds later.
+
+    The parameter `fence` of all calls is the fencing token: a worker rejects calls
+    with a lower token than the highest one it has received.
     """
 
     @abc.abstractmethod
@@ -183,16 +189,16 @@
         acknowledged: int,
         wait: timedelta,
     ) -> PollReply:
-        """Extend the lease, acknowledge ends and return what is there.
+        """Extend the lease, acknowledge ends and return the worker's runs.
 
         Parameters
         ----------
         lease_end_ms : int
-            On the worker's clock; 0 leaves the lease as it is.
+            End of the lease on the worker's clock; 0 leaves it unchanged.
         acknowledged : int
-            Ends up to this number are forgotten.
+            The worker discards ends up to this number.
         wait : timedelta
-            How long the worker may wait for an end before it answers.
+            Maximum time that the worker waits for a run to end before it answers.
         """
 
     @abc.abstractmethod
@@ -207,20 +213,20 @@
         fence: int,
         lease_end_ms: int,
     ) -> None:
-        """Start a run; one that is there already is left alone.
+        """Start a run; has no effect if the worker has it already.
 
         Raises
         ------
         StartRefused
-            If the worker certainly did not start it.
+            If the worker answered that it did not start the run.
         """
 
     @abc.abstractmethod
     async def stop(self, *, heartbeat: Heartbeat, ref: RunRef, fence: int) -> None:
-        """End a run; from the answer on it can never start there again."""
+        """Stop a run; once answered, the run can no longer start on this worker."""
 
     @abc.abstractmethod
     async def pace(
         self, *, heartbeat: Heartbeat, ref: RunRef, percent: int, fence: int
     ) -> None:
-        """Let a run work at a share of its speed."""
+        """Limit a run to `percent` of its full speed."""
