--- a/coltsfoottray/agent/executor.py
+++ b/coltsfoottray/agent/executor.py
@@ -1,4 +1,4 @@
-"""Carries single orders out at the worker."""
+"""Execution of single start and stop orders on the worker."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 
 __all__ = ["AttendantState", "OrderExecutor", "OrderScope"]
 
-_RETRY = timedelta(milliseconds=100)
-# A start that the worker would get with less lease than this is held back.
+_RETRY_DELAY = timedelta(milliseconds=100)
+# A start is delayed while less than this is left of the lease.
 _MIN_LEASE = timedelta(milliseconds=300)
-_MAX_LATE = 5
-# With the timeout of an order, some 4 s: the users take a job for lost of which nothing
+_MAX_LATE_REFUSALS = 5
+# About 4 s with the timeout of an order. Users consider a job lost if none of its tasks
 # runs for 3 s.
 _MAX_UNANSWERED = 5
 
 
 @dataclass(frozen=True, kw_only=True, eq=False)
 class OrderScope:
-    """The life and the session for which an order holds; in others it is void."""
+    """Worker incarnation and session in which an order is valid."""
 
     heartbeat: Heartbeat
     session: int
@@ -44,43 +44,43 @@
 
 
 class AttendantState(abc.ABC):
-    """What an order has to know of the attendant while it is carried out."""
+    """State of the attendant that the execution of an order depends on."""
 
     @abc.abstractmethod
     def is_current(self, scope: OrderScope) -> bool:
-        """Whether neither the session nor the worker's life has changed."""
+        """Whether neither the session nor the worker's incarnation has changed."""
 
     @abc.abstractmethod
     def has_polled(self, scope: OrderScope) -> bool:
-        """Whether the worker has shown in the session what it runs."""
+        """Whether the worker has been polled in the session."""
 
     @property
     @abc.abstractmethod
     def is_draining(self) -> bool:
-        """Whether the worker takes nothing new."""
+        """Whether the worker accepts no new runs."""
 
     @abc.abstractmethod
     def issue_lease(self, now: timedelta) -> int:
-        """Return the end of the lease on the worker's clock, 0 for no change."""
+        """Return the lease end to issue, on the worker's clock in ms; 0 for none."""
 
     @abc.abstractmethod
     def handle_replacement(self, error: WorkerReplaced) -> None:
-        """Note that another life of the worker has answered."""
+        """Handle that another incarnation of the worker has answered."""
 
     @abc.abstractmethod
     def request_report(self) -> None:
-        """Report to the scheduler soon."""
+        """Request a report to the scheduler without delay."""
 
 
 class OrderExecutor:
-    """Starts and stops runs.
+    """Starts and stops runs on the worker.
 
     Parameters
     ----------
     link : WorkerLink
-        Takes the orders.
+        Link to the worker.
     state : AttendantState
-        Tells whether an order still holds.
+        Decides whether an order is still valid.
     """
 
     def __init__(
@@ -101,25 +101,25 @@
         self._metrics = metrics
 
     async def start(self, order: StartOrder, scope: OrderScope) -> None:
-        """Start a run, asking again until the worker has answered."""
+        """Start a run, retrying until the worker answers."""
         runs = scope.runs
         late = 0
         unanswered = 0
         while self._state.is_current(scope) and order.ref in runs.starting:
             if self._state.is_draining:
                 reason = Refusal.DRAINING
-                await self._refuse(order, reason, scope, is_open=unanswered > 0)
+                await self._refuse(order, reason, scope, has_unanswered=unanswered > 0)
                 return
             if unanswered >= _MAX_UNANSWERED:
-                # Looks are answered, so that the lease is renewed: the task would wait
-                # for this worker for ever.
+                # If only polls are answered, the lease is renewed and the task would
+                # wait for this worker forever.
                 reason = Refusal.UNHEALTHY
-                await self._refuse(order, reason, scope, is_open=True)
+                await self._refuse(order, reason, scope, has_unanswered=True)
                 return
             now = self._clock.elapsed()
             lease_end_ms = self._state.issue_lease(now)
             if not lease_end_ms or self._lease.remaining_grant(now) < _MIN_LEASE:
-                await self._clock.sleep(_RETRY)
+                await self._clock.sleep(_RETRY_DELAY)
                 continue
             try:
                 await self._link.start(
@@ -133,13 +133,15 @@
                 )
             except StartRefused as error:
                 late += error.reason is Refusal.LATE
-                if error.reason is not Refusal.LATE or late > _MAX_LATE:
+                if error.reason is not Refusal.LATE or late > _MAX_LATE_REFUSALS:
                     reason = error.reason
-                    await self._refuse(order, reason, scope, is_open=unanswered > 0)
+                    await self._refuse(
+                        order, reason, scope, has_unanswered=unanswered > 0
+                    )
                     return
             except (CommunicationError, WorkerReplaced) as error:
-                # It may have begun, or begin later; the same start asked for
-                # again finds out, and begins no second one.
+                # The run may have started, or may start later. Repeating the request
+                # settles this and cannot start a second run.
                 unanswered += 1
                 if isinstance(error, WorkerReplaced):
                     self._state.handle_replacement(error)
@@ -152,11 +154,11 @@
                 runs.started_by_ref[order.ref] = self._clock.elapsed()
                 log_event("worker:started", run=str(order.ref), session=scope.session)
                 if order.is_filler and self._speeds.has_services:
-                    # Not at the next look: half a second of a strong filler at
-                    # full speed takes two more to wear off.
+                    # Waiting for the next poll would let a heavy filler run at full
+                    # speed for half a second; its effect takes two more to subside.
                     await self._speeds.set_speeds(scope.heartbeat, runs, scope.session)
                 return
-            await self._clock.sleep(_RETRY)
+            await self._clock.sleep(_RETRY_DELAY)
 
     async def _refuse(
         self,
@@ -164,32 +166,32 @@
         reason: Refusal,
         scope: OrderScope,
         *,
-        is_open: bool,
+        has_unanswered: bool,
     ) -> None:
-        """Report that a run does not and will not exist here, once that is certain.
+        """Reject a start once the run certainly does not and will not exist here.
 
-        An earlier attempt without an answer may be carried out seconds later, when
-        the run's successor is at work elsewhere: then the run is stopped first, which
-        shuts the attempt out.
+        If an earlier request was not answered, the worker may still execute it seconds
+        later, while the task's next run works elsewhere. The run is then stopped first,
+        which makes the worker refuse that request.
         """
         self._metrics.count("starts_refused", reason=reason.value)
         log_event(
             "worker:refused",
             run=str(order.ref),
             reason=reason.value,
-            is_open=is_open,
+            is_open=has_unanswered,
         )
         if not self._state.is_current(scope):
-            # The next session's start of it may have begun the run. Noted as being
-            # stopped there, the run was passed over by a later order to stop it.
+            # An order of the next session may have started the run. Marking the run as
+            # being stopped would make that session ignore later orders to stop it.
             return
-        if is_open:
+        if has_unanswered:
             scope.runs.stopped_by_ref[order.ref] = None
             scope.runs.reason_by_ref[order.ref] = reason
             await self.stop(order.ref, scope)
             return
-        # Told as the run's end, the refusal of a start that was asked for again hid how
-        # the run had ended, or that it was at work. A later look shows either.
+        # The run of a repeated start may be running or may have ended. Rejecting it
+        # would hide this from the scheduler; the next poll shows which is the case.
         if self._may_be_repeat(order.ref, reason, scope):
             scope.runs.record_refusal(order.ref, reason, self._clock.elapsed())
             return
@@ -197,12 +199,12 @@
         self._state.request_report()
 
     def _may_be_repeat(self, ref: RunRef, reason: Refusal, scope: OrderScope) -> bool:
-        """Whether the run may have been started here before, in another session."""
-        is_known_there = reason is Refusal.OLD or scope.runs.is_running(ref)
-        return is_known_there or not self._state.has_polled(scope)
+        """Whether the run may have been started here in an earlier session."""
+        is_known_to_worker = reason is Refusal.OLD or scope.runs.is_running(ref)
+        return is_known_to_worker or not self._state.has_polled(scope)
 
     async def stop(self, ref: RunRef, scope: OrderScope) -> None:
-        """Stop a run, asking again until the worker has answered."""
+        """Stop a run, retrying until the worker answers."""
         runs = scope.runs
         runs.starting.discard(ref)
         while self._state.is_current(scope) and ref in runs.stopped_by_ref:
@@ -212,7 +214,7 @@
                 )
             except (CommunicationError, WorkerReplaced) as error:
                 log_event("worker:stop-unanswered", run=str(ref), reason=str(error))
-                await self._clock.sleep(_RETRY)
+                await self._clock.sleep(_RETRY_DELAY)
                 continue
             runs.stopped_by_ref[ref] = self._clock.elapsed()
             log_event("worker:stopped", run=str(ref), session=scope.session)
