--- a/coltsfoottray/agent/attendant.py
+++ b/coltsfoottray/agent/attendant.py
@@ -184,7 +184,7 @@
         left = self._lease.remaining_grant(self._clock.elapsed())
         self._metrics.gauge("lease_left_seconds", left.total_seconds())
         self._metrics.gauge("runs_there", len(poll.running))
-        has_news = self._runs.apply_poll(poll, asked=asked)
+        has_news = self._runs.apply_poll(poll, sent_at=asked)
         if has_news or self._polled_session != session:
             self._polled_session = session
             self.request_report()
--- a/coltsfoottray/agent/runs.py
+++ b/coltsfoottray/agent/runs.py
@@ -1,4 +1,4 @@
-"""What an attendant knows of the runs on its worker."""
+"""The attendant's record of the runs on its worker."""
 
 from __future__ import annotations
 
@@ -14,32 +14,36 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RefusedStart:
-    """A start that was not carried out, and when that was known."""
+    """Start that the worker refused, with the time of the refusal."""
 
     reason: Refusal
-    refused: timedelta
+    refused_at: timedelta
 
 
 @dataclass(kw_only=True)
 class Runs:
-    """Runs of one life of the worker.
+    """Runs of one incarnation of the worker.
 
     Parameters
     ----------
     order_by_ref : dict
-        What was ordered, for as long as the run may be there.
+        Start orders, kept while the run may exist on the worker.
     starting : set of RunRef
-        Starts under way.
+        Starts in progress.
     started_by_ref : dict
-        When the worker confirmed a start that no look has shown yet.
+        Time at which the worker confirmed a start, until a poll shows the run.
     stopped_by_ref : dict
-        When the worker confirmed a stop whose end no look has shown yet; none
-        while it has not.
+        Time at which the worker confirmed a stop, until a poll shows the end; None
+        while the stop is not confirmed.
     reason_by_ref : dict
-        Why starts were refused that are stopped first.
+        Reasons of refused starts whose runs are stopped before they are rejected.
     refused_by_ref : dict
-        Starts refused of runs that may have been there before: a later look shows
-        what became of them.
+        Refused starts whose runs may exist already; a later poll shows whether they
+        run or have ended.
+    running, ends : list
+        Runs and ends that the last poll returned.
+    rejected_by_ref : dict
+        Rejected starts that are not reported to the scheduler yet.
     """
 
     order_by_ref: dict[RunRef, StartOrder] = field(default_factory=dict)
@@ -53,7 +57,7 @@
     rejected_by_ref: dict[RunRef, RejectedStart] = field(default_factory=dict)
 
     def is_known(self, ref: RunRef) -> bool:
-        """Whether a start of the run would be a repeat."""
+        """Whether the run was started here before, so that an order repeats it."""
         return (
             ref in self.starting
             or ref in self.started_by_ref
@@ -63,75 +67,84 @@
         )
 
     def is_running(self, ref: RunRef) -> bool:
-        """Whether the last look showed the run at work."""
+        """Whether the last poll showed the run as running."""
         return any(status.ref == ref for status in self.running)
 
     def unconfirmed_starts(self) -> list[RunRef]:
-        """Return the starts of which no look has shown yet what became of them."""
+        """Return the starts whose result no poll has shown yet."""
         return [*self.starting, *self.started_by_ref, *self.refused_by_ref]
 
     def record_refusal(self, ref: RunRef, reason: Refusal, now: timedelta) -> None:
-        """Note that a start was refused, which leaves open what became of the run."""
+        """Record that a start was refused while the state of the run is unknown."""
         self.starting.discard(ref)
-        self.refused_by_ref[ref] = RefusedStart(reason=reason, refused=now)
+        self.refused_by_ref[ref] = RefusedStart(reason=reason, refused_at=now)
 
     def record_rejection(self, ref: RunRef, reason: Refusal) -> None:
-        """Note that a run does not and will not exist here."""
+        """Record that a run does not and will not exist here."""
         self.starting.discard(ref)
         self.order_by_ref.pop(ref, None)
         self.rejected_by_ref[ref] = RejectedStart(ref=ref, reason=reason)
 
-    def apply_poll(self, look: PollReply, *, asked: timedelta) -> bool:
-        """Take in what a look showed; return whether there is news to report."""
+    def apply_poll(self, reply: PollReply, *, sent_at: timedelta) -> bool:
+        """Apply the reply to a poll; return whether there is news to report.
+
+        Parameters
+        ----------
+        sent_at : timedelta
+            When the poll was sent. The reply proves nothing about orders that were
+            confirmed later.
+        """
         known = {end.number for end in self.ends}
-        news = any(end.number not in known for end in look.ends)
-        self.running = look.running
-        self.ends = look.ends
-        seen = {status.ref for status in look.running}
-        seen.update(end.ref for end in look.ends)
-        # What is seen has been started. Asked for again after its end, it would begin
-        # once more in a new life of the worker, which knows nothing of it.
+        has_news = any(end.number not in known for end in reply.ends)
+        self.running = reply.running
+        self.ends = reply.ends
+        seen = {status.ref for status in reply.running}
+        seen.update(end.ref for end in reply.ends)
+        # Stop retrying starts of runs that the worker lists. If a run ended first, a
+        # new incarnation of the worker, which does not know it, would start it again.
         self.starting -= seen
-        for ref, confirmed in list(self.started_by_ref.items()):
-            if ref in seen or confirmed < asked:
+        for ref, confirmed_at in list(self.started_by_ref.items()):
+            if ref in seen or confirmed_at < sent_at:
                 del self.started_by_ref[ref]
-        news = self._settle_stops(look, asked) or news
-        news = self._settle_refusals(look, asked) or news
-        there = {status.ref for status in look.running}
-        there.update(self.starting, self.started_by_ref)
-        for ref in [ref for ref in self.order_by_ref if ref not in there]:
+        has_news = self._resolve_stops(reply, sent_at) or has_news
+        has_news = self._resolve_refusals(reply, sent_at) or has_news
+        present = {status.ref for status in reply.running}
+        present.update(self.starting, self.started_by_ref)
+        for ref in [ref for ref in self.order_by_ref if ref not in present]:
             del self.order_by_ref[ref]
-        return news
-
-    def _settle_stops(self, look: PollReply, asked: timedelta) -> bool:
-        """Note the stops that are through; return whether one had no run."""
-        running = {status.ref for status in look.running}
-        ended = {end.ref for end in look.ends}
-        news = False
-        for ref, confirmed in list(self.stopped_by_ref.items()):
-            if confirmed is None or confirmed >= asked or ref in running:
+        return has_news
+
+    def _resolve_stops(self, reply: PollReply, sent_at: timedelta) -> bool:
+        """Remove completed stops; return whether one had no run."""
+        running = {status.ref for status in reply.running}
+        ended = {end.ref for end in reply.ends}
+        has_news = False
+        for ref, confirmed_at in list(self.stopped_by_ref.items()):
+            if confirmed_at is None or confirmed_at >= sent_at or ref in running:
                 continue
-            if ref not in ended and not look.is_complete:
+            if ref not in ended and not reply.is_complete:
                 continue
             del self.stopped_by_ref[ref]
             reason = self.reason_by_ref.pop(ref, Refusal.OLD)
             if ref not in ended:
-                # The run was never there, so no end will ever be listed.
+                # The run never existed, so the worker will not list an end for it.
                 self.record_rejection(ref, reason)
-                news = True
-        return news
-
-    def _settle_refusals(self, look: PollReply, asked: timedelta) -> bool:
-        """Reject the starts whose runs are not there; return whether there are any."""
-        there = {status.ref for status in look.running}
-        there.update(end.ref for end in look.ends)
-        news = False
+                has_news = True
+        return has_news
+
+    def _resolve_refusals(self, reply: PollReply, sent_at: timedelta) -> bool:
+        """Reject the refused starts whose runs do not exist; return whether any was."""
+        present = {status.ref for status in reply.running}
+        present.update(end.ref for end in reply.ends)
+        has_news = False
         for ref, start in list(self.refused_by_ref.items()):
-            is_shown = start.refused < asked and (look.is_complete or ref in there)
-            if not is_shown:
+            is_resolved = start.refused_at < sent_at and (
+                reply.is_complete or ref in present
+            )
+            if not is_resolved:
                 continue
             del self.refused_by_ref[ref]
-            if ref not in there:
+            if ref not in present:
                 self.record_rejection(ref, start.reason)
-                news = True
-        return news
+                has_news = True
+        return has_news
