--- a/coltsfoottray/agent/attendant.py
+++ b/coltsfoottray/agent/attendant.py
@@ -81,7 +81,7 @@
         # Whether the lease of a worker that does not answer was seen to be over.
         self._has_lapsed = False
         self._liveness = WorkerLiveness()
-        self._lease = WorkerLease(started=clock.elapsed())
+        self._lease = WorkerLease(started_at=clock.elapsed())
         self._speeds = SpeedController(link=link, clock=clock)
         self._paced = timedelta(0)
         self._stalls = StallDetector()
--- a/coltsfoottray/agent/lease.py
+++ b/coltsfoottray/agent/lease.py
@@ -1,4 +1,4 @@
-"""What is left of a worker's lease, by the grants and by the worker's clock."""
+"""A worker's lease, converted from the scheduler's grants to the worker's clock."""
 
 from __future__ import annotations
 
@@ -9,74 +9,74 @@
 
 __all__ = ["WorkerLease"]
 
-# How far ahead the worker's lease reaches: an attendant that is killed has this
-# long to return (3.5 s for a VM without power, and its start), and a worker that
-# falls silent is given up after it.
-_WORKER_HORIZON = timedelta(seconds=6)
+# Maximum lease that the worker holds at any time. An attendant that is killed must
+# return within it (3.5 s of power loss of the VM, plus its own start), and a worker
+# that stops answering is declared lost after it.
+_LEASE_HORIZON = timedelta(seconds=6)
 
-# A worker's clock may be 2% slow: of a lease it is told a little less.
+# A worker's clock may run 2% slow, so the lease is shortened by slightly more.
 _CLOCK_MARGIN = 0.975
 
-_NOTHING = timedelta(0)
+_ZERO = timedelta(0)
 
 
 class WorkerLease:
-    """Until when the worker may run, and until when it has been told it may.
+    """Lease granted by the scheduler, and the part of it issued to the worker.
 
     Parameters
     ----------
-    started : timedelta
-        When this attendant began. The one before it may have told the worker a whole
-        lease just then, and left no trace of it.
+    started_at : timedelta
+        When this attendant started. Its predecessor may have issued a full lease at
+        that moment, and leaves no record of it.
     """
 
-    def __init__(self, *, started: timedelta) -> None:
-        self._granted = _NOTHING
-        self._told = started + _WORKER_HORIZON
+    def __init__(self, *, started_at: timedelta) -> None:
+        self._granted_until = _ZERO
+        self._issued_until = started_at + _LEASE_HORIZON
         self._reading: ClockReading | None = None
 
     def reset_clock(self) -> None:
-        """Forget the clock of another life."""
+        """Discard the reading of another incarnation's clock."""
         self._reading = None
 
     def set_reading(self, reading: ClockReading) -> None:
-        """Take in a reading of the worker's clock."""
+        """Set the latest reading of the worker's clock."""
         self._reading = reading
 
     def grant(self, end: timedelta) -> None:
-        """Take in a grant of the scheduler; a shorter one changes nothing."""
-        self._granted = max(self._granted, end)
+        """Extend the grant to `end`; an earlier end has no effect."""
+        self._granted_until = max(self._granted_until, end)
 
     def remaining_grant(self, now: timedelta) -> timedelta:
-        """Return how much of the grant is left."""
-        return max(self._granted - now, _NOTHING)
+        """Return the time until the grant ends."""
+        return max(self._granted_until - now, _ZERO)
 
     @property
     def is_clock_known(self) -> bool:
-        """Whether the worker can be told an end on its own clock."""
+        """Whether a lease end can be expressed on the worker's clock."""
         return self._reading is not None
 
     def remaining_issued(self, now: timedelta) -> timedelta:
-        """Return for how long the worker may still run by what it was told."""
-        return max(self._told - now, _NOTHING)
+        """Return the time until the lease issued to the worker ends."""
+        return max(self._issued_until - now, _ZERO)
 
     def limit_to_issued(self) -> None:
-        """Tell the worker no more than it was told, until there is another grant."""
-        self._granted = min(self._granted, self._told)
+        """Revoke the part of the grant that has not been issued to the worker."""
+        self._granted_until = min(self._granted_until, self._issued_until)
 
     def mark_ended(self) -> None:
-        """Note that nothing runs there any more."""
-        self._told = _NOTHING
+        """Record that nothing can run on the worker any more."""
+        self._issued_until = _ZERO
 
     def issue(self, now: timedelta) -> int:
-        """Return the end to tell the worker, on its clock; 0 for none.
+        """Return the lease end to issue, on the worker's clock in ms; 0 for none.
 
-        The reading was made before it arrived here, so that the clock is at least
-        as far by then; less the margin, the lease ends in time on a slow clock.
+        The clock was read before the reading was received, so at that moment it shows
+        at least the reading. With the margin, the lease ends in time on a slow clock.
         """
-        end = min(self._granted, now + _WORKER_HORIZON)
+        end = min(self._granted_until, now + _LEASE_HORIZON)
         if self._reading is None or end <= now:
             return 0
-        ahead = (end - self._reading.received) * _CLOCK_MARGIN
-        self._told = max(self._told, end)
-        return self._reading.reading_ms + math.floor(ahead.total_seconds() * 1000)
+        lease = (end - self._reading.received) * _CLOCK_MARGIN
+        self._issued_until = max(self._issued_until, end)
+        return self._reading.reading_ms + math.floor(lease.total_seconds() * 1000)
