--- a/coltsfoottray/agent/liveness.py
+++ b/coltsfoottray/agent/liveness.py
@@ -1,4 +1,4 @@
-"""Whether a worker answers its attendant, and what its silence proves."""
+"""Liveness of a worker as seen by its attendant."""
 
 from __future__ import annotations
 
@@ -9,73 +9,84 @@
 
 __all__ = ["WorkerLiveness"]
 
-# A worker that still answers so long after it said that it leaves has not meant it:
-# the word was a late one of an earlier life.
-_LEAVE_TIME = timedelta(seconds=2)
+# If the worker still answers this long after a deregistration, the message was a
+# delayed one of an earlier incarnation.
+_DEREGISTRATION_TIMEOUT = timedelta(seconds=2)
 
 
 class WorkerLiveness:
-    """What calls to one life of a worker have shown.
+    """Liveness of one incarnation of a worker, as shown by calls to it.
 
     Attributes
     ----------
     is_answering : bool
-        Whether the last call that tells was answered.
-    is_over : bool
-        Whether this life is known to have ended, and its runs with it.
+        Whether the last poll was answered; True when a new incarnation has reported.
+    has_ended : bool
+        Whether this incarnation is known to have ended, and its runs with it.
     is_replaced : bool
-        Whether another life under its id has answered.
+        Whether another incarnation with the same id has answered.
     """
 
     def __init__(self) -> None:
         self.is_answering = False
         self.has_ended = False
         self.is_replaced = False
-        # When it said that it leaves.
-        self._left: timedelta | None = None
+        self._deregistered_at: timedelta | None = None
 
     def reset(self) -> None:
-        """Note that a life has reported itself."""
+        """Start with a new incarnation, which has reported itself."""
         self.is_answering = True
         self.has_ended = False
         self.is_replaced = False
-        self._left = None
+        self._deregistered_at = None
 
     def record_deregistration(self, now: timedelta) -> None:
-        """Note the worker's word that it is about to end.
+        """Record that the worker has announced its end.
 
-        Its runs end with it; that nobody listens there any more confirms it. The word
-        alone may be a late one of an earlier life under the same id, and a worker that
-        runs on may be silent for a moment.
+        Its runs end with it. The end is confirmed when the address refuses connections:
+        the announcement alone may be a delayed one of an earlier incarnation with the
+        same id, and a running worker may fail to answer for a moment.
         """
-        self._left = now
+        self._deregistered_at = now
 
-    def record_answer(self, asked: timedelta) -> bool:
-        """Note that a call made at `asked` was answered; return whether it is news."""
+    def record_answer(self, sent_at: timedelta) -> bool:
+        """Record the answer to a call; return whether the worker did not answer before.
+
+        Parameters
+        ----------
+        sent_at : timedelta
+            When the call was sent.
+        """
         was_answering = self.is_answering
         self.is_answering = True
         self.is_replaced = False
-        if self._left is not None and asked - self._left > _LEAVE_TIME:
-            self._left = None
+        if self._deregistered_at is not None and sent_at - self._deregistered_at > _DEREGISTRATION_TIMEOUT:
+            self._deregistered_at = None
         return not was_answering
 
     def record_failure(
-        self, error: CommunicationError | WorkerReplaced, asked: timedelta
+        self, error: CommunicationError | WorkerReplaced, sent_at: timedelta
     ) -> bool:
-        """Note that a call made at `asked` failed; return whether that is news."""
+        """Record that a call failed; return whether the worker answered before.
+
+        Parameters
+        ----------
+        sent_at : timedelta
+            When the call was sent.
+        """
         was_answering = self.is_answering
         self.is_answering = False
         if isinstance(error, WorkerReplaced):
-            # A new life under the same id may have taken orders meant for this one:
-            # what became of them is settled once it has reported itself.
+            # A new incarnation with the same id may have accepted orders meant for this
+            # one; their result is known once it has reported itself.
             self.has_ended = not error.takes_orders
         else:
-            has_left = self._left is not None and asked >= self._left
-            self.has_ended = has_left and error.is_refused
+            is_deregistered = self._deregistered_at is not None and sent_at >= self._deregistered_at
+            self.has_ended = is_deregistered and error.is_refused
         return was_answering
 
     def record_replacement(self, error: WorkerReplaced) -> bool:
-        """Note that another life has answered; return whether that is news."""
-        is_news = error.takes_orders and not self.is_replaced
+        """Record that another incarnation answered; return whether that is new."""
+        is_new = error.takes_orders and not self.is_replaced
         self.is_replaced |= error.takes_orders
-        return is_news
+        return is_new
