--- a/coltsfoottray/agent/liveness.py
+++ b/coltsfoottray/agent/liveness.py
@@ -11,7 +11,7 @@
 
 # If the worker still answers this long after a deregistration, the message was a
 # delayed one of an earlier incarnation.
-_DEREGISTRATION_TIMEOUT = timedelta(seconds=2)
+_LEAVE_TIMEOUT = timedelta(seconds=2)
 
 
 class WorkerLiveness:
@@ -31,14 +31,14 @@
         self.is_answering = False
         self.has_ended = False
         self.is_replaced = False
-        self._deregistered_at: timedelta | None = None
+        self._leaving_since: timedelta | None = None
 
     def reset(self) -> None:
         """Start with a new incarnation, which has reported itself."""
         self.is_answering = True
         self.has_ended = False
         self.is_replaced = False
-        self._deregistered_at = None
+        self._leaving_since = None
 
     def record_deregistration(self, now: timedelta) -> None:
         """Record that the worker has announced its end.
@@ -47,7 +47,7 @@
         the announcement alone may be a delayed one of an earlier incarnation with the
         same id, and a running worker may fail to answer for a moment.
         """
-        self._deregistered_at = now
+        self._leaving_since = now
 
     def record_answer(self, sent_at: timedelta) -> bool:
         """Record the answer to a call; return whether the worker did not answer before.
@@ -60,8 +60,11 @@
         was_answering = self.is_answering
         self.is_answering = True
         self.is_replaced = False
-        if self._deregistered_at is not None and sent_at - self._deregistered_at > _DEREGISTRATION_TIMEOUT:
-            self._deregistered_at = None
+        if (
+            self._leaving_since is not None
+            and sent_at - self._leaving_since > _LEAVE_TIMEOUT
+        ):
+            self._leaving_since = None
         return not was_answering
 
     def record_failure(
@@ -81,8 +84,10 @@
             # one; their result is known once it has reported itself.
             self.has_ended = not error.takes_orders
         else:
-            is_deregistered = self._deregistered_at is not None and sent_at >= self._deregistered_at
-            self.has_ended = is_deregistered and error.is_refused
+            is_leaving = (
+                self._leaving_since is not None and sent_at >= self._leaving_since
+            )
+            self.has_ended = is_leaving and error.is_refused
         return was_answering
 
     def record_replacement(self, error: WorkerReplaced) -> bool:
