--- a/coltsfoottray/agent/stalls.py
+++ b/coltsfoottray/agent/stalls.py
@@ -1,7 +1,7 @@
-"""Runs that make no progress.
+"""Detection of runs that make no progress.
 
-Answers workers on which tasks stand still while everything else about them is
-well: nothing ever ends or fails there, and only the percentage tells.
+Guards against workers that appear healthy but on which tasks stall: no run ever ends
+or fails there, and only the reported percentage shows it.
 """
 
 from __future__ import annotations
@@ -16,29 +16,29 @@
 
 __all__ = ["StallDetector"]
 
-# Three looks; a task of a second shows progress at each of them.
-_MIN_PATIENCE = timedelta(seconds=1.5)
-# Of the estimate. A percent of a task takes a hundredth of its time, which may be some
-# times the estimate, and some times that on a slow worker.
-_PATIENCE_SHARE = 0.15
-# A service is at work some tenths of a second after its start.
-_SERVICE_PATIENCE = timedelta(seconds=4)
-# Slower than this, by our own doing, a run may well show no progress.
-_MIN_PACE = 50
-_AT_WORK = 100.0
+# Three polls; a task of 1 s shows progress in each of them.
+_MIN_STALL_TIMEOUT = timedelta(seconds=1.5)
+# Share of the estimate. One percent of a task takes a hundredth of its duration, which
+# may be several times the estimate, and several times longer again on a slow worker.
+_STALL_TIMEOUT_SHARE = 0.15
+# A service is serving a few tenths of a second after its start.
+_SERVICE_STALL_TIMEOUT = timedelta(seconds=4)
+# A run that the attendant slows below this may legitimately show no progress.
+_MIN_SPEED_PERCENT = 50
+_SERVING_PERCENT = 100.0
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Seen:
+class _Progress:
     percent: float
     since: timedelta
 
 
 class StallDetector:
-    """Compares the percentages of successive looks."""
+    """Detects stalled runs by comparing the percentages of successive polls."""
 
     def __init__(self) -> None:
-        self._seen_by_ref: dict[RunRef, _Seen] = {}
+        self._progress_by_ref: dict[RunRef, _Progress] = {}
 
     def check(
         self,
@@ -47,33 +47,33 @@
         percent_by_ref: Mapping[RunRef, int],
         now: timedelta,
     ) -> list[RunRef]:
-        """Return the runs that have stood still for too long.
+        """Return the runs that have stalled.
 
         Parameters
         ----------
         percent_by_ref : mapping
-            The speed at which runs may work, where it is not the full one.
+            Speed limits of runs in percent; runs without one work at full speed.
         """
-        seen_by_ref: dict[RunRef, _Seen] = {}
+        progress_by_ref: dict[RunRef, _Progress] = {}
         stalled: list[RunRef] = []
         for status in running:
             order = order_by_ref.get(status.ref)
-            seen = self._seen_by_ref.get(status.ref)
-            is_slowed = percent_by_ref.get(status.ref, 100) < _MIN_PACE
-            is_moving = seen is None or seen.percent != status.percent
+            progress = self._progress_by_ref.get(status.ref)
+            is_slowed = percent_by_ref.get(status.ref, 100) < _MIN_SPEED_PERCENT
+            has_progressed = progress is None or progress.percent != status.percent
             if order is not None and order.is_service:
-                is_moving = seen is None or status.percent >= _AT_WORK
-            if is_moving or is_slowed or seen is None:
-                seen = _Seen(percent=status.percent, since=now)
-            seen_by_ref[status.ref] = seen
-            if order is not None and now - seen.since > _patience(order):
+                has_progressed = progress is None or status.percent >= _SERVING_PERCENT
+            if has_progressed or is_slowed or progress is None:
+                progress = _Progress(percent=status.percent, since=now)
+            progress_by_ref[status.ref] = progress
+            if order is not None and now - progress.since > _stall_timeout(order):
                 stalled.append(status.ref)
-        self._seen_by_ref = seen_by_ref
+        self._progress_by_ref = progress_by_ref
         return stalled
 
 
-def _patience(order: StartOrder) -> timedelta:
+def _stall_timeout(order: StartOrder) -> timedelta:
     if order.is_service:
-        return _SERVICE_PATIENCE
-    share = timedelta(milliseconds=order.estimate_ms * _PATIENCE_SHARE)
-    return max(_MIN_PATIENCE, share)
+        return _SERVICE_STALL_TIMEOUT
+    share = timedelta(milliseconds=order.estimate_ms * _STALL_TIMEOUT_SHARE)
+    return max(_MIN_STALL_TIMEOUT, share)
