--- a/coltsfoottray/agent/attendant.py
+++ b/coltsfoottray/agent/attendant.py
@@ -1,4 +1,4 @@
-"""Keeps one worker's lease, carries orders out and tells what has become of them."""
+"""Attendant of one worker: renews its lease, executes orders and reports its runs."""
 
 from __future__ import annotations
 
@@ -35,21 +35,21 @@
 
 __all__ = ["TaskAttendant"]
 
-# A look waits so long for an end: the figures of tasks are of the last half
-# second, and the lease is renewed as often.
-_LOOK_WAIT = timedelta(milliseconds=500)
-_RETRY = timedelta(milliseconds=100)
+# How long a poll waits for a run to end. Workers measure the figures of runs over half
+# a second, and each poll renews the lease.
+_POLL_WAIT = timedelta(milliseconds=500)
+_RETRY_DELAY = timedelta(milliseconds=100)
 
 
 class TaskAttendant(Service, AttendantState):
-    """Stands beside one worker.
+    """Manages one worker on behalf of the scheduler.
 
     Parameters
     ----------
     name : str
-        Stands for the VM in the scheduler's records.
+        Identifies the VM in the scheduler's records.
     address : Address
-        Where the scheduler sends orders.
+        Address to which the scheduler sends orders.
     """
 
     def __init__(
@@ -70,20 +70,19 @@
         self._link = link
         self._clock = clock
         self._metrics = metrics
-        self._beat: Heartbeat | None = None
+        self._heartbeat: Heartbeat | None = None
         self._runs = Runs()
         self._epoch = 0
         self._session = 0
         self._polled_session = 0
         self._acknowledged = 0
-        # How many reports were made.
-        self._reports = 0
-        # Whether the lease of a worker that does not answer was seen to be over.
+        self._report_count = 0
+        # Whether the worker does not answer and its lease has expired.
         self._has_lapsed = False
         self._liveness = WorkerLiveness()
         self._lease = WorkerLease(started_at=clock.elapsed())
         self._speeds = SpeedController(link=link, clock=clock)
-        self._paced = timedelta(0)
+        self._last_paced = timedelta(0)
         self._stalls = StallDetector()
         self._stalled: list[RunRef] = []
         self._executor = OrderExecutor(
@@ -95,9 +94,9 @@
             metrics=metrics,
         )
         self._nursery: trio.Nursery | None = None
-        self._session_begun = trio.Event()
+        self._session_started = trio.Event()
         self.report_requested = trio.Event()
-        # Whether the scheduler has yet to store that the worker is back.
+        # Whether the scheduler has not yet stored that the worker answers again.
         self.is_lease_pending = False
 
     async def run(  # noqa: D102
@@ -107,18 +106,18 @@
             self._nursery = nursery
             task_status.started()
             while True:
-                if self._beat is None or not self._session:
-                    with trio.move_on_after(_RETRY.total_seconds()):
-                        await self._session_begun.wait()
+                if self._heartbeat is None or not self._session:
+                    with trio.move_on_after(_RETRY_DELAY.total_seconds()):
+                        await self._session_started.wait()
                 else:
-                    await self._poll_worker(self._beat)
-                self._notice_lapse()
+                    await self._poll_worker(self._heartbeat)
+                self._check_lapse()
 
-    # What the worker says.
+    # Calls from the worker, and polls.
 
     def handle_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Take in the worker's report about itself."""
-        known = self._beat
+        """Handle a report of the worker about itself."""
+        known = self._heartbeat
         if known is not None and heartbeat.life == known.life:
             if heartbeat.sequence <= known.sequence:
                 return
@@ -129,7 +128,7 @@
                     remaining_s=heartbeat.remaining.total_seconds(),
                 )
                 self.request_report()
-            self._beat = heartbeat
+            self._heartbeat = heartbeat
             return
         if known is not None and heartbeat.born_ms <= known.born_ms:
             log_event("worker:old-heartbeat", life=heartbeat.life, current=known.life)
@@ -138,13 +137,15 @@
         self._begin_life(heartbeat)
 
     def handle_deregistration(self, life_id: str) -> None:
-        """Hear that the worker is about to end."""
-        if self._beat is not None and self._beat.life.startswith(f"{life_id}/"):
-            log_event("worker:leaves", life=self._beat.life)
+        """Handle the announcement that the worker is about to end."""
+        if self._heartbeat is not None and self._heartbeat.life.startswith(
+            f"{life_id}/"
+        ):
+            log_event("worker:leaves", life=self._heartbeat.life)
             self._liveness.record_deregistration(self._clock.elapsed())
 
     def _begin_life(self, heartbeat: Heartbeat) -> None:
-        self._beat = heartbeat
+        self._heartbeat = heartbeat
         self._runs = Runs()
         self._polled_session = 0
         self._acknowledged = 0
@@ -155,69 +156,70 @@
         self.request_report()
 
     async def _poll_worker(self, heartbeat: Heartbeat) -> None:
-        asked = self._clock.elapsed()
+        sent_at = self._clock.elapsed()
         session = self._session
         try:
-            poll = await self._link.poll(
+            reply = await self._link.poll(
                 heartbeat=heartbeat,
                 fence=session,
-                lease_end_ms=self.issue_lease(asked),
-                acknowledged=self._ends_to_forget(),
-                wait=_LOOK_WAIT if self._lease.is_clock_known else timedelta(0),
+                lease_end_ms=self.issue_lease(sent_at),
+                acknowledged=self._ack_cursor(),
+                wait=_POLL_WAIT if self._lease.is_clock_known else timedelta(0),
             )
         except (CommunicationError, WorkerReplaced) as error:
-            if self._liveness.record_failure(error, asked):
+            if self._liveness.record_failure(error, sent_at):
                 log_event("worker:lost", life=heartbeat.life, reason=str(error))
             if isinstance(error, WorkerReplaced):
                 self.handle_replacement(error)
-            await self._clock.sleep(_RETRY)
+            await self._clock.sleep(_RETRY_DELAY)
             return
-        if self._beat is None or heartbeat.life != self._beat.life:
+        if self._heartbeat is None or heartbeat.life != self._heartbeat.life:
             return
         self._has_lapsed = False
-        if self._liveness.record_answer(asked):
+        if self._liveness.record_answer(sent_at):
             log_event("worker:reached", life=heartbeat.life)
-            # While it did not answer, its lease was not renewed.
+            # The scheduler did not renew the lease while the worker did not answer.
             self.request_report()
-        self._lease.set_reading(poll.clock)
-        self._metrics.time("look", self._clock.elapsed() - asked)
+        self._lease.set_reading(reply.clock)
+        self._metrics.time("look", self._clock.elapsed() - sent_at)
         left = self._lease.remaining_grant(self._clock.elapsed())
         self._metrics.gauge("lease_left_seconds", left.total_seconds())
-        self._metrics.gauge("runs_there", len(poll.running))
-        has_news = self._runs.apply_poll(poll, sent_at=asked)
+        self._metrics.gauge("runs_there", len(reply.running))
+        has_news = self._runs.apply_poll(reply, sent_at=sent_at)
         if has_news or self._polled_session != session:
             self._polled_session = session
             self.request_report()
-        if asked - self._paced >= _LOOK_WAIT * 0.8:
-            self._paced = asked
-            self._find_stalls(asked)
+        if sent_at - self._last_paced >= _POLL_WAIT * 0.8:
+            self._last_paced = sent_at
+            self._find_stalls(sent_at)
             await self._speeds.update(heartbeat, self._runs, self._session)
-        if poll.ends:
-            # With ends that are not acknowledged yet a look returns at once.
-            await self._clock.sleep(_RETRY)
+        if reply.ends:
+            # A poll returns immediately while ends are not acknowledged.
+            await self._clock.sleep(_RETRY_DELAY)
 
-    def _ends_to_forget(self) -> int:
-        """Return up to which number the worker may forget ends, 0 for none.
+    def _ack_cursor(self) -> int:
+        """Return the number up to which the worker may discard ends, 0 for none.
 
-        Told to a new life under the same id, the number of the earlier life's ends made
-        it forget its own first ones: a task that had ended well there ran again. So
-        nothing is forgotten by a look that may be the first to reach another life.
+        A new incarnation with the same id numbers its ends anew. The cursor of the
+        previous one would make it discard its own first ends, and tasks that have
+        finished would run again. No poll that may be the first to reach a new
+        incarnation acknowledges ends.
         """
         is_pending = any(e.number <= self._acknowledged for e in self._runs.ends)
         return self._acknowledged if is_pending and self._liveness.is_answering else 0
 
-    def _notice_lapse(self) -> None:
-        """Let go of the runs of a worker that is silent past its lease.
+    def _check_lapse(self) -> None:
+        """Drop the runs of a worker that does not answer once its lease has expired.
 
-        It is told at once, and again with each report: the scheduler that hears it
-        first may be replaced before it has stored it.
+        This is reported immediately and again with each report, because a scheduler may
+        be replaced before it has stored the first one.
         """
         if self._liveness.is_answering or self._has_lapsed:
             return
         has_ended = self._liveness.has_ended
         if self._lease.remaining_issued(self._clock.elapsed()) and not has_ended:
             return
-        life = "" if self._beat is None else self._beat.life
+        life = "" if self._heartbeat is None else self._heartbeat.life
         log_event("worker:lease-lapsed", life=life, is_over=has_ended)
         self._has_lapsed = True
         self._lease.mark_ended()
@@ -239,29 +241,29 @@
             log_event("worker:stalled", runs=new)
             self.request_report()
 
-    # What the scheduler says.
+    # Calls from the scheduler, and reports to it.
 
     @property
     def session(self) -> int:
-        """The session granted last, 0 for none."""
+        """The last session granted, 0 for none."""
         return self._session
 
     def report(self) -> Report:
-        """Return what is known now.
+        """Return a report of the current state.
 
-        One that shows no life of the worker says for how long it may still run. The
-        grants that would let it run on are void with it.
+        Unless a worker is known to answer, the report promises for how long one may
+        still run. This revokes the part of the grant that has not been issued.
         """
         runs = self._runs
-        heartbeat = self._beat
+        heartbeat = self._heartbeat
         if heartbeat is None or not self._liveness.is_answering:
             self._lease.limit_to_issued()
         left = self._lease.remaining_issued(self._clock.elapsed())
-        self._reports += 1
+        self._report_count += 1
         report = Report(
             worker=self._name,
             incarnation=self._incarnation,
-            number=self._reports,
+            number=self._report_count,
             lease_left_ms=math.ceil(left.total_seconds() * 1000),
             address=self._address,
             data_centre=self._data_centre,
@@ -290,54 +292,55 @@
             is_replaced=self._liveness.is_replaced,
         )
 
-    def take_reply(self, report: Report, reply: ReportReply, sent: timedelta) -> bool:
-        """Take in the answer to a report that was sent at `sent`.
+    def apply_reply(
+        self, report: Report, reply: ReportReply, sent_at: timedelta
+    ) -> bool:
+        """Apply the reply to a report that was sent at `sent_at`.
 
         Returns
         -------
         bool
-            Whether it is from a scheduler worth reporting to: not from one that
-            has been replaced, nor from one that has nothing left to grant where a
-            lease was due.
+            Whether to keep reporting to this scheduler. False if it has been replaced,
+            or if it cannot grant a lease that is due.
 
-            A lease that is only pending is no reason to leave: other entries may be
-            dead, and asking them leaves the worker idle for seconds.
+            A pending lease is no reason to leave: other entries may be down, and trying
+            them would leave the worker idle for seconds.
         """
         if reply.epoch < self._epoch:
             log_event("scheduler:outdated", epoch=reply.epoch, known=self._epoch)
             return False
         self._epoch = reply.epoch
-        self._lease.grant(sent + timedelta(milliseconds=reply.lease_ms))
+        self._lease.grant(sent_at + timedelta(milliseconds=reply.lease_ms))
         self._speeds.set_shared_pressures(reply.pressures)
         for rejected in report.rejected:
             self._runs.rejected_by_ref.pop(rejected.ref, None)
         if reply.orders.session != self._session:
             self._begin_session(reply.orders.session)
-        self._carry_out(reply.orders)
+        self._execute(reply.orders)
         self.is_lease_pending = reply.is_lease_pending
-        is_due = report.shows_life and not reply.is_lease_pending
-        return reply.lease_ms > 0 or not is_due
+        is_lease_due = report.shows_life and not reply.is_lease_pending
+        return reply.lease_ms > 0 or not is_lease_due
 
     async def handle_orders(self, orders: Orders) -> Acknowledged:
-        """Take orders that the scheduler sends between reports."""
-        self._carry_out(orders)
+        """Execute orders that the scheduler sends between reports."""
+        self._execute(orders)
         return Acknowledged()
 
     def _begin_session(self, session: int) -> None:
-        """Drop the starts under way: the reply names all that still hold."""
+        """Begin a session; its first orders repeat all starts that are still valid."""
         log_event("scheduler:session", session=session, before=self._session)
         self._session = session
         if self._has_lapsed:
-            # Only in the session that it granted a scheduler believes it.
+            # A scheduler accepts the lapse only in the session that it granted.
             self.request_report()
-        self._session_begun.set()
-        self._session_begun = trio.Event()
+        self._session_started.set()
+        self._session_started = trio.Event()
         self._runs.starting.clear()
         self._runs.stopped_by_ref.clear()
         self._runs.reason_by_ref.clear()
 
-    def _carry_out(self, orders: Orders) -> None:
-        heartbeat = self._beat
+    def _execute(self, orders: Orders) -> None:
+        heartbeat = self._heartbeat
         if (
             orders.session != self._session
             or heartbeat is None
@@ -360,7 +363,7 @@
                 self._runs.stopped_by_ref[ref] = None
                 self._nursery.start_soon(self._executor.stop, ref, scope)
 
-    # What orders ask while they are carried out.
+    # State that the execution of orders depends on.
 
     def is_current(self, scope: OrderScope) -> bool:  # noqa: D102
         return scope.session == self._session and scope.runs is self._runs
@@ -370,22 +373,23 @@
 
     @property
     def is_draining(self) -> bool:  # noqa: D102
-        return self._beat is None or self._beat.is_draining
+        return self._heartbeat is None or self._heartbeat.is_draining
 
     def issue_lease(self, now: timedelta) -> int:
-        """Return the end of the lease on the worker's clock, 0 for no change.
+        """Return the lease end to issue, on the worker's clock in ms; 0 for none.
 
-        Of a worker that does not answer the lease has to run out.
+        The lease of a worker that does not answer must expire.
         """
         return self._lease.issue(now) if self._liveness.is_answering else 0
 
     def handle_replacement(self, error: WorkerReplaced) -> None:
-        """Tell the scheduler of another life under the worker's id at once.
+        """Report immediately that another incarnation with the worker's id answered.
 
-        What it has taken outlasts the lease of the one before. Were this attendant to
-        die with the news, the scheduler would count that lease alone.
+        Runs that it has accepted can outlast the lease of the previous incarnation. If
+        this attendant fails before it has reported, the scheduler waits only for that
+        lease.
         """
-        is_current = self._beat is not None and self._beat.life == error.life
+        is_current = self._heartbeat is not None and self._heartbeat.life == error.life
         if is_current and self._liveness.record_replacement(error):
             self.request_report()
 
--- a/coltsfoottray/agent/reporter.py
+++ b/coltsfoottray/agent/reporter.py
@@ -121,7 +121,7 @@
             return None
         if not reply.is_scheduler:
             return reply
-        if not self._attendant.take_reply(report, reply, sent):
+        if not self._attendant.apply_reply(report, reply, sent):
             return None
         self._epoch = reply.epoch
         return reply
