--- a/coltsfoottray/agent/reporter.py
+++ b/coltsfoottray/agent/reporter.py
@@ -1,4 +1,4 @@
-"""Reports to the scheduler, whichever entry that is."""
+"""Periodic reports of an attendant to the entry that is the scheduler."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 __all__ = ["Reporter"]
 
-# Renews a lease of 7 s in good time and shows the scheduler's silence early.
-_PERIOD = timedelta(seconds=1)
+# Short enough to renew a lease of 7 s in time and to detect a lost scheduler early.
+_REPORT_INTERVAL = timedelta(seconds=1)
 _TIMEOUT = timedelta(milliseconds=800)
-_RETRY = timedelta(milliseconds=100)
+_RETRY_DELAY = timedelta(milliseconds=100)
 
 
 class Reporter(Service):
-    """Sends the attendant's reports, at once when there is news.
+    """Sends the attendant's reports at an interval, and on request without delay.
 
     Parameters
     ----------
     candidates : callable
-        Returns the addresses at which the scheduler may be, or which may know.
+        Returns the addresses of entries that may be the scheduler or know it.
     """
 
     def __init__(
@@ -50,10 +50,10 @@
         self._attempt = trio.CancelScope()
 
     async def handle_hello(self, hello: Hello) -> Acknowledged:
-        """Report to a new scheduler at once.
+        """Report to a new scheduler without delay.
 
-        An attempt to reach another entry is given up: after a loss of power it may be
-        one that has no power yet, whose silence would last until the timeout.
+        A report in progress to another entry is cancelled: after a power failure that
+        entry may still be off, and the report would block until its timeout.
         """
         if hello.epoch > self._epoch:
             self._epoch = hello.epoch
@@ -74,24 +74,24 @@
             if self._attempt.cancelled_caught:
                 continue
             if not is_answered or self._attendant.is_lease_pending:
-                with trio.move_on_after(_RETRY.total_seconds()):
+                with trio.move_on_after(_RETRY_DELAY.total_seconds()):
                     await self._attendant.report_requested.wait()
                 continue
-            with trio.move_on_after(_PERIOD.total_seconds()):
+            with trio.move_on_after(_REPORT_INTERVAL.total_seconds()):
                 await self._attendant.report_requested.wait()
 
     async def _report(self) -> bool:
-        """Report once; return whether the scheduler has answered."""
-        named = self._scheduler
-        if named is not None:
-            found = await self._report_to(named)
-            if self._scheduler is not named:
-                # Meanwhile another one has introduced itself.
+        """Send one report; return whether the scheduler has answered."""
+        current = self._scheduler
+        if current is not None:
+            found = await self._report_to(current)
+            if self._scheduler is not current:
+                # A new scheduler has sent its Hello in the meantime.
                 return True
             self._scheduler = found
             if found is not None:
                 return True
-            log_event("scheduler:lost", address=str(named))
+            log_event("scheduler:lost", address=str(current))
         for address in await self._candidates():
             self._scheduler = await self._report_to(address)
             if self._scheduler is not None:
@@ -100,20 +100,26 @@
         return False
 
     async def _report_to(self, address: Address) -> Address | None:
-        """Report to `address` or whom it names; return who is the scheduler."""
-        reply = await self._ask(address)
+        """Report to `address`, following one redirect.
+
+        Returns
+        -------
+        Address or None
+            The address of the scheduler, None if it has not answered.
+        """
+        reply = await self._send_report(address)
         if reply is None or reply.is_scheduler:
             return None if reply is None else address
         if reply.scheduler is None or reply.scheduler == address:
             return None
-        named = await self._ask(reply.scheduler)
-        if named is None or not named.is_scheduler:
+        redirected = await self._send_report(reply.scheduler)
+        if redirected is None or not redirected.is_scheduler:
             return None
         return reply.scheduler
 
-    async def _ask(self, address: Address) -> ReportReply | None:
+    async def _send_report(self, address: Address) -> ReportReply | None:
         report = self._attendant.report()
-        sent = self._clock.elapsed()
+        sent_at = self._clock.elapsed()
         try:
             reply = await self._peers.call(address, REPORT, report, timeout=_TIMEOUT)
         except CommunicationError as error:
@@ -121,7 +127,7 @@
             return None
         if not reply.is_scheduler:
             return reply
-        if not self._attendant.apply_reply(report, reply, sent):
+        if not self._attendant.apply_reply(report, reply, sent_at):
             return None
         self._epoch = reply.epoch
         return reply
