--- a/coltsfoottray/agent/pacing.py
+++ b/coltsfoottray/agent/pacing.py
@@ -1,10 +1,10 @@
-"""How fast filling tasks may work beside services with a latency target.
+"""Speed limits of fillers beside services with a latency target.
 
-Answers the load at which fillers disturb a service: its tail latency is known only
-as a rough figure of the last half second, and both sides change within seconds.
-Each filler is let work as far as what is known of its pressure leaves the services
-a margin; a service that is over its target all the same slows all that press on
-it by half at each look, and before it has been so for long, everything.
+Fillers disturb services, whose tail latency is known only as a rough figure of the last
+half second, and the load of both changes within seconds. Each filler is limited so that
+its estimated pressure leaves the services a safety margin. While a service exceeds its
+target, the heavy fillers that press on it are halved at each poll, and after a short
+time all fillers are stopped.
 """
 
 from __future__ import annotations
@@ -22,25 +22,25 @@
 
 FULL_SPEED = 100
 
-# The margin that services keep: what is expected of one is never quite right.
+# Margin left to services, because predicted margins have errors.
 SAFETY_MARGIN = 1.4
-# What light fillers leave to a service that has been over its target, until its load
-# has fallen: several of them, each too weak to be noticed, take a whole margin together
-# at a peak of the load.
-_LEAST_MARGIN = 1.1
-# How many standard deviations a filler is slowed beyond what is thought of it: more
-# leaves builds next to nothing, less lets them push services over their targets.
+# Margin that light fillers leave to a service that has exceeded its target, until its
+# load has fallen. Several of them, each too light to be noticed, can together use up
+# the whole margin at a load peak.
+_MIN_MARGIN = 1.1
+# Standard deviations added to the estimated pressure. A higher value leaves builds
+# hardly any speed, a lower one lets them push services over their targets.
 _CAUTION = 0.4
-# Fillers are stopped altogether once a service has been over its target for so
-# long: the users allow 4 s, of which a look and an order take up to 0.7 s.
-_PATIENCE = timedelta(seconds=2)
-# Nobody learns anything of a filler that stands still, and it never ends.
-_CRAWL = 2
+# Fillers are stopped when a service has exceeded its target for this long. Users allow
+# 4 s, of which a poll and an order take up to 0.7 s.
+_MAX_OVERRUN = timedelta(seconds=2)
+# A stopped filler never ends, and its pressure cannot be learned.
+_MIN_PERCENT = 2
 
 
 @dataclass(frozen=True, kw_only=True)
 class FillerRun:
-    """A filling run and the part of the worker that it uses at full speed."""
+    """Run of a filler, with the share of the worker it uses at full speed."""
 
     ref: RunRef
     image: str
@@ -48,14 +48,14 @@
 
 
 class Pacer:
-    """Sets the speed, in percent, of each filler on one worker."""
+    """Sets the speed limits of the fillers on one worker."""
 
     def __init__(self, *, learner: PressureLearner) -> None:
         self._learner = learner
         self._over_since_by_service: dict[str, timedelta] = {}
         self._percent_by_image: dict[str, int] = {}
-        # Services for whose sake light fillers are slowed as well.
-        self._pressed: set[str] = set()
+        # Services that have exceeded their target, for which light fillers are slowed.
+        self._pressed_services: set[str] = set()
 
     def adjust(
         self,
@@ -65,36 +65,36 @@
         *,
         available_share: float,
     ) -> dict[RunRef, int]:
-        """Return the speed of each filler from now on.
+        """Return the new speed limit of each filler in percent.
 
         Parameters
         ----------
-        left : float
-            The part of the worker that is left to fillers: together they press no
-            more than that lets them.
+        available_share : float
+            Share of the worker's processors that other tasks leave. Fillers together
+            cannot use more, which limits the pressure they can exert.
         """
-        self._note_over(observations, now)
-        self._pressed &= {each.service for each in observations}
-        wanted = sum(filler.share for filler in fillers)
-        scale = min(1.0, available_share / wanted) if wanted > 0 else 1.0
-        full_by_image: dict[str, float] = {}
+        self._record_overruns(observations, now)
+        self._pressed_services &= {each.service for each in observations}
+        demand = sum(filler.share for filler in fillers)
+        scale = min(1.0, available_share / demand) if demand > 0 else 1.0
+        share_by_image: dict[str, float] = {}
         for filler in fillers:
-            share = full_by_image.get(filler.image, 0.0)
-            full_by_image[filler.image] = share + filler.share * scale
-        percent_by_image = dict.fromkeys(full_by_image, FULL_SPEED)
+            share = share_by_image.get(filler.image, 0.0)
+            share_by_image[filler.image] = share + filler.share * scale
+        percent_by_image = dict.fromkeys(share_by_image, FULL_SPEED)
         for observation in observations:
-            allowed = self._allow(observation, full_by_image)
+            allowed = self._allow(observation, share_by_image)
             for image, percent in allowed.items():
                 percent_by_image[image] = min(percent_by_image[image], percent)
         if any(
-            now - since > _PATIENCE for since in self._over_since_by_service.values()
+            now - since > _MAX_OVERRUN for since in self._over_since_by_service.values()
         ):
-            percent_by_image = dict.fromkeys(full_by_image, 0)
+            percent_by_image = dict.fromkeys(share_by_image, 0)
         self._percent_by_image = percent_by_image
         return {filler.ref: percent_by_image[filler.image] for filler in fillers}
 
     def margins(self, observations: Sequence[Observation]) -> dict[str, ServiceMargin]:
-        """Return by service image the least margins without fillers."""
+        """Return the smallest margins without fillers, by service image."""
         margin_by_image: dict[str, ServiceMargin] = {}
         for each in observations:
             now = self._learner.undisturbed_margin(each)
@@ -109,7 +109,9 @@
             )
         return margin_by_image
 
-    def _note_over(self, observations: Sequence[Observation], now: timedelta) -> None:
+    def _record_overruns(
+        self, observations: Sequence[Observation], now: timedelta
+    ) -> None:
         over = {each.service for each in observations if each.margin <= 1.0}
         for each in observations:
             if each.margin <= 1.0 and each.service not in self._over_since_by_service:
@@ -133,12 +135,12 @@
         }
 
     def _allow(
-        self, observation: Observation, full_by_image: dict[str, float]
+        self, observation: Observation, share_by_image: dict[str, float]
     ) -> dict[str, int]:
-        """Return how fast each filler image may work for one service's sake."""
+        """Return the speed limit in percent of each filler image for one service."""
         light_by_image: dict[str, float] = {}
         heavy_by_image: dict[str, float] = {}
-        for image, share in full_by_image.items():
+        for image, share in share_by_image.items():
             pressure = self._learner.pressure(image, observation.image)
             upper_bound = pressure.upper_bound(_CAUTION)
             if upper_bound < MAX_LIGHT_PRESSURE:
@@ -147,43 +149,43 @@
                 heavy_by_image[image] = upper_bound * share
         margin = self._learner.undisturbed_margin(observation)
         light = sum(light_by_image.values())
-        light_percent = self._percent_of_light(observation, light, margin)
+        light_percent = self._light_percent(observation, light, margin)
         allowed = dict.fromkeys(light_by_image, light_percent)
         heavy = sum(heavy_by_image.values())
-        percent = _percent(heavy, margin - SAFETY_MARGIN - light)
+        percent = _affordable_percent(heavy, margin - SAFETY_MARGIN - light)
         for image in heavy_by_image:
             allowed[image] = percent
             if observation.margin <= 1.0:
                 before = self._percent_by_image.get(image, FULL_SPEED)
-                allowed[image] = min(percent, max(before // 2, _CRAWL))
+                allowed[image] = min(percent, max(before // 2, _MIN_PERCENT))
         return allowed
 
-    def _percent_of_light(
+    def _light_percent(
         self, observation: Observation, light: float, margin: float
     ) -> int:
-        """Return how fast light fillers may work for one service's sake.
+        """Return the speed limit in percent of light fillers for one service.
 
-        Full speed, until the service has been seen over its target: what is expected
-        is not sure enough to slow fillers that seem harmless.
+        Light fillers work at full speed until the service has exceeded its target:
+        predicted margins are too uncertain to slow fillers that appear harmless.
         """
-        percent = _percent(light, margin - _LEAST_MARGIN)
+        percent = _affordable_percent(light, margin - _MIN_MARGIN)
         if observation.margin <= 1.0:
-            self._pressed.add(observation.service)
+            self._pressed_services.add(observation.service)
         elif percent == FULL_SPEED:
-            self._pressed.discard(observation.service)
-        return percent if observation.service in self._pressed else FULL_SPEED
+            self._pressed_services.discard(observation.service)
+        return percent if observation.service in self._pressed_services else FULL_SPEED
 
 
-def _percent(wanted: float, spare: float) -> int:
-    """Return the speed, in percent, that takes no more of a margin than is to spare."""
+def _affordable_percent(demand: float, spare: float) -> int:
+    """Return the speed in percent at which `demand` fits in the spare margin."""
     spare = max(spare, 0.0)
-    if wanted <= spare:
+    if demand <= spare:
         return FULL_SPEED
-    return max(int(spare / wanted * FULL_SPEED), _CRAWL)
+    return max(int(spare / demand * FULL_SPEED), _MIN_PERCENT)
 
 
 def is_worth_an_order(before: int, percent: int) -> bool:
-    """Whether a change of speed matters: it stops, restores, or is by a tenth."""
+    """Whether the speed stops, resumes, becomes full or changes by at least a tenth."""
     if percent in (0, FULL_SPEED) or before == 0:
         return percent != before
     return abs(percent - before) * 10 >= before
