--- a/coltsfoottray/agent/pressure.py
+++ b/coltsfoottray/agent/pressure.py
@@ -1,11 +1,14 @@
-"""How strongly tasks of one image disturb services of another.
-
-A service's tail latency rises as its worker's share for it runs out: the inverse
-of the latency falls in proportion to its own load and to the processors that
-fillers use beside it. What is measured here is therefore the *margin*, the
-target divided by the latency (1 when the target is just met), and for each pair of
-images the *pressure*: by how much the margin falls for each whole worker's
-processors that the filler uses. Pairs are light or heavy, with little between.
+"""Interference of fillers of one image with services of another.
+
+The inverse of a service's tail latency falls linearly with its own load and with the
+processors that fillers use on the same worker. The model therefore uses two quantities:
+
+- the *margin* of a service, its latency target divided by its tail latency (1 when the
+  target is just met);
+- the *pressure* of a pair of images, the reduction of the margin if the filler used all
+  processors of the worker.
+
+Pairs are either light or heavy, with few in between.
 """
 
 from __future__ import annotations
@@ -26,33 +29,32 @@
     "ServiceMargin",
 ]
 
-# The part of what a service with a latency target reserves that it uses outside of the
-# peaks of its load.
+# Share of its reservation that a service with a latency target uses outside load peaks.
 SERVICE_USE = 0.5
 
-# A pair that presses less is light: slowing such fillers would gain services little.
+# Pairs below this pressure are light: slowing such fillers hardly helps services.
 MAX_LIGHT_PRESSURE = 4.0
 
-# What several workers have learned differs by more than their own figures say: they
-# have learned from one another as well.
+# Lower bound of the merged standard deviation. Workers also learn from one another, so
+# their estimates are not independent and differ by more than their weights suggest.
 _MIN_SPREAD = 0.7
 
 
-# Stands among the observers for what was known before.
-_BEFORE = ""
-# What was known may have changed meanwhile: a spread of 1 at the least.
-_MAX_WEIGHT_BEFORE = 1.0
+# Observer name of the restored estimates.
+_RESTORED = ""
+# Pressures may have changed since the estimates were stored: a spread of at least 1.
+_MAX_RESTORED_WEIGHT = 1.0
 
 
 class ImagePair(msgspec.Struct, frozen=True, array_like=True):
-    """A filler's image and a service's."""
+    """Image of a filler and image of a service."""
 
     filler: str
     service: str
 
 
 class Pressure(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of a pair; `weight` is the inverse of the variance."""
+    """Estimated pressure of a pair; `weight` is the inverse of the variance."""
 
     pair: ImagePair
     value: float
@@ -60,16 +62,16 @@
 
 
 class ServiceMargin(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """The margin that services of an image would have on a worker without fillers.
+    """Margins that services of an image would have on a worker without fillers.
 
     Parameters
     ----------
     now : float
-        Until the next look.
+        Margin until the next poll.
     usual : float
-        Over some ten seconds.
+        Average over some ten seconds.
     least : float
-        At the peaks of their load.
+        Margin at load peaks.
     """
 
     now: float
@@ -78,41 +80,41 @@
 
 
 class Estimate(msgspec.Struct, frozen=True, kw_only=True):
-    """A pressure and its standard deviation."""
+    """Estimate of a pressure, with its standard deviation `spread`."""
 
     value: float
     spread: float
 
     def upper_bound(self, spreads: float) -> float:
-        """Return a pressure that the true one is unlikely to exceed."""
+        """Return the estimate plus `spreads` standard deviations, at least 0."""
         return max(self.value + spreads * self.spread, 0.0)
 
 
 PRIOR = Estimate(value=2.5, spread=5.0)
-"""Taken for a pair not seen yet, which may be light or heavy."""
+"""Estimate for a pair without observations, which may be light or heavy."""
 
 
 class PressureTable:
-    """Merges what several observers know."""
+    """Merges the pressures estimated by several observers."""
 
     def __init__(self) -> None:
         self._by_observer: dict[str, list[Pressure]] = {}
         self._estimate_by_pair: dict[ImagePair, Estimate] = {}
 
     def update(self, observer: str, pressures: list[Pressure]) -> None:
-        """Replace what one observer knows."""
+        """Replace the pressures of one observer."""
         if self._by_observer.get(observer) == pressures:
             return
         self._by_observer[observer] = pressures
         self._merge()
 
     def restore(self, pressures: list[Pressure]) -> None:
-        """Begin with what was known before, as one observer more."""
-        self._by_observer[_BEFORE] = [
+        """Add stored pressures as those of an additional observer."""
+        self._by_observer[_RESTORED] = [
             Pressure(
                 pair=each.pair,
                 value=each.value,
-                weight=min(each.weight, _MAX_WEIGHT_BEFORE),
+                weight=min(each.weight, _MAX_RESTORED_WEIGHT),
             )
             for each in pressures
         ]
@@ -121,8 +123,8 @@
     def _merge(self) -> None:
         total_by_pair: dict[ImagePair, float] = defaultdict(float)
         weight_by_pair: dict[ImagePair, float] = defaultdict(float)
-        for known in self._by_observer.values():
-            for each in known:
+        for pressures in self._by_observer.values():
+            for each in pressures:
                 total_by_pair[each.pair] += each.value * each.weight
                 weight_by_pair[each.pair] += each.weight
         self._estimate_by_pair = {
@@ -135,17 +137,17 @@
         }
 
     def get(self, filler: str, service: str) -> Estimate:
-        """Return what is known of a pair, a guess where it was never seen."""
+        """Return the estimate for a pair, `PRIOR` if it was never observed."""
         pair = ImagePair(filler=filler, service=service)
         return self._estimate_by_pair.get(pair, PRIOR)
 
     def all(self) -> list[Pressure]:
-        """Return every known pair."""
+        """Return the merged pressures of all observed pairs."""
         return [
             Pressure(
                 pair=pair,
-                value=round(known.value, 2),
-                weight=round(known.spread**-2, 3),
+                value=round(estimate.value, 2),
+                weight=round(estimate.spread**-2, 3),
             )
-            for pair, known in self._estimate_by_pair.items()
+            for pair, estimate in self._estimate_by_pair.items()
         ]
