--- a/coltsfoottray/agent/learning.py
+++ b/coltsfoottray/agent/learning.py
@@ -1,11 +1,11 @@
-"""Learns on one worker how fillers' images press on services' images.
-
-Several fillers run at a time and the load of services moves too, so that one look
-tells little of who is to blame. A Kalman filter for each service image weighs each
-look by what it can tell: a filler that has just started, beside others that are
-well known, is blamed for nearly all of a change. The load of a service follows its
-users', who call on all tasks of a job alike: its undisturbed margin is kept for the
-job, with its slope, or fillers would be blamed for each rise of the load.
+"""Online estimation, on one worker, of the pressure of fillers on services.
+
+Several fillers run at a time and the load of services varies too, so a single poll
+rarely shows which of them causes a change. A Kalman filter for each service image
+attributes changes by uncertainty: a filler that has just started beside fillers with
+certain estimates is attributed nearly all of a change. Users load all tasks of a job
+alike, so the margin without fillers is estimated per job. Its slope is estimated too;
+otherwise each rise of the load would be attributed to fillers.
 """
 
 from __future__ import annotations
@@ -25,60 +25,61 @@
 
 __all__ = ["Observation", "PressureLearner"]
 
-# What others have learned may be a little different here.
-_LEAST_SHARED_SPREAD = 1.0
+# Minimum standard deviation of shared pressures, which may differ slightly here.
+_MIN_SHARED_SPREAD = 1.0
 _MAX_PRESSURE = 30.0
 _MAX_MARGIN = 6.0
 
-# Variances that states gain in a second, for a load that may swing by half within 10 s.
+# Process noise: variance added per second, for a load that may swing by half in 10 s.
 _MARGIN_DRIFT = 0.01
 _SLOPE_DRIFT = 0.1
 _MAX_SLOPE_VARIANCE = 0.5
 _PRESSURE_DRIFT = 0.02
 _MAX_PRESSURE_VARIANCE = 4.0
-# Slopes turn within some seconds: this part of one is left after a second.
-_SLOPE_KEPT = 0.8
+# Ratio by which slopes decay per second, because the load turns within a few seconds.
+_SLOPE_DECAY = 0.8
 
-# Standard deviation of a margin seen, for the load that only one task of a job has, and
-# for the rounding of latencies to whole ms.
+# Standard deviations of an observed margin, for load that differs between tasks of a
+# job, and of a latency in ms, for its rounding to whole ms.
 _MARGIN_NOISE = 0.2
 _ROUNDING_MS = 0.3
-# While a latency far over the usual one falls again, what is recovered is mostly noise.
-_FALLING_NOISE = 0.6
-
-# A latency so far over the target says no more how strong the pressure is.
-_SATURATED = 0.3
-
-# A service that has just started is not yet disturbed as it will be.
-_WARM_UP_LOOKS = 4
-# With what its undisturbed margin begins, which a look beside fillers cannot show; its
-# spread lets the first looks without them replace it.
-_FIRST_MARGIN = 2.6
-_FIRST_MARGIN_SPREAD = 0.8
-_FIRST_SLOPE_SPREAD = 0.4
-
-# The figure of a latency is smoothed: half a second later this part of it is left. What
-# fillers use is smoothed likewise before the two are compared, or heavy pairs would
-# seem to press less than they do. Undoing the smoothing would add noise: that is done
-# only where a latency was far higher before.
-_KEPT_IN_HALF_SECOND = 0.35
+# Additional standard deviation of an unsmoothed margin: while a latency far above the
+# usual one falls, the unsmoothed value is mostly noise.
+_UNSMOOTHING_NOISE = 0.6
+
+# Below this margin the latency no longer depends on how strong the pressure is.
+_SATURATED_MARGIN = 0.3
+
+# Polls to skip after the start of a service: it is disturbed less at first than later.
+_WARM_UP_POLLS = 4
+# Initial margin without fillers, which polls with fillers cannot show. Its standard
+# deviation is large enough that the first polls without fillers replace it.
+_INITIAL_MARGIN = 2.6
+_INITIAL_MARGIN_SPREAD = 0.8
+_INITIAL_SLOPE_SPREAD = 0.4
+
+# Workers smooth latencies exponentially: this share of a value is left after half a
+# second. The usage of fillers is smoothed in the same way before the two are compared,
+# or heavy pairs would appear lighter than they are. Undoing the smoothing adds noise,
+# so this is done only if the previous latency was higher by the ratio below.
+_SMOOTHING = 0.35
 _HALF_SECOND = timedelta(milliseconds=500)
-_MUCH_HIGHER = 1.5
-# What is recovered from two smoothed figures is no better than this part of one.
-_MIN_RECOVERED = 0.4
-
-# A smaller part of a worker in use is none.
-_LEAST_SHARE = 0.001
-
-# How far ahead speeds are set: until the next look, and until what it orders holds.
-_AHEAD_S = 0.5
-# Of what one task's margin differs from its job's: this part of the last is kept.
-_DEVIATION_KEPT = 0.5
-# Weight of a look in the usual margin: a swing of 10 s and more is averaged out.
+_MIN_LATENCY_DROP = 1.5
+# Lower bound of an unsmoothed latency, as a share of the smoothed one.
+_MIN_UNSMOOTHED = 0.4
+
+# A smaller share of the worker's processors counts as unused.
+_MIN_SHARE = 0.001
+
+# Prediction horizon in seconds: until the next poll and the speed limits set after it.
+_PREDICTION_S = 0.5
+# Share of the previous value in the smoothed deviation of a task from its job.
+_DEVIATION_SMOOTHING = 0.5
+# Weight of a poll in the usual margin, which averages out swings of 10 s and more.
 _USUAL_SMOOTHING = 0.04
 
-# At each look the least margin comes so much nearer to the usual one.
-_LEAST_RECOVERED = 0.02
+# Share of its distance to the usual margin by which the least margin recovers per poll.
+_LEAST_RECOVERY = 0.02
 
 _FILLER = "filler:"
 _MARGIN = "margin:"
@@ -87,18 +88,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Observation:
-    """One service as a look shows it.
+    """State of one service as returned by a poll.
 
     Parameters
     ----------
     service : str
-        Names the run.
+        Identifies the run.
     job : str
-        Names the job; its tasks have one load.
+        Identifies the job, whose tasks share the same load.
     image : str
-        What it runs.
+        Image of the service.
     latency_ms, target_ms : float
-        Its tail latency, and what that must stay below.
+        Tail latency, and the target it must stay below.
     """
 
     service: str
@@ -109,18 +110,18 @@
 
     @property
     def margin(self) -> float:
-        """Its target divided by its tail latency."""
+        """Target divided by tail latency, limited to `_MAX_MARGIN`."""
         return min(self.target_ms / self.latency_ms, _MAX_MARGIN)
 
 
 @dataclass(kw_only=True)
-class _Service:
-    """What is remembered of one service from look to look.
+class _ServiceHistory:
+    """State of one service that is kept between polls.
 
     Parameters
     ----------
     deviation : float
-        By how much its margin differed lately from what its job leads to expect.
+        Smoothed difference of its margin from the margin predicted for its job.
     """
 
     looks: int = 0
@@ -130,41 +131,41 @@
 
 
 class PressureLearner:
-    """Learns the pressures on one worker."""
+    """Estimates pressures and margins on one worker."""
 
     def __init__(self) -> None:
-        self._filter_by_image: dict[str, MarginFilter] = {}
-        self._service_by_run: dict[str, _Service] = {}
+        self._model_by_image: dict[str, MarginFilter] = {}
+        self._service_by_run: dict[str, _ServiceHistory] = {}
         self._usual_by_job: dict[str, float] = {}
         self._least_by_job: dict[str, float] = {}
         self._shared_by_pair: dict[ImagePair, Estimate] = {}
-        # The certainty with which a pair was begun here: it is not our own finding.
-        self._first_weight_by_pair: dict[ImagePair, float] = {}
-        self._learned: timedelta | None = None
-        # What fillers of an image use, smoothed as the latency is.
-        self._smooth_by_image: dict[str, float] = {}
+        # Weight of the initial estimate of a pair, which was not learned here.
+        self._initial_weight_by_pair: dict[ImagePair, float] = {}
+        self._updated_at: timedelta | None = None
+        # Usage of fillers by image, smoothed like the latency.
+        self._smoothed_share_by_image: dict[str, float] = {}
 
     def set_shared_pressures(self, pressures: Iterable[Pressure]) -> None:
-        """Take in what others have learned."""
+        """Set the pressures that all workers together have learned."""
         self._shared_by_pair = {
             each.pair: Estimate(
                 value=each.value,
-                spread=max(each.weight**-0.5, _LEAST_SHARED_SPREAD),
+                spread=max(each.weight**-0.5, _MIN_SHARED_SPREAD),
             )
             for each in pressures
             if each.weight > 0
         }
 
     def local_pressures(self) -> list[Pressure]:
-        """Return what was learned here."""
+        """Return the pressures learned here, less the weight of initial estimates."""
         pressures = []
-        for image, known in self._filter_by_image.items():
-            for state, value in known.mean.items():
+        for image, model in self._model_by_image.items():
+            for state, value in model.mean.items():
                 if not state.startswith(_FILLER):
                     continue
                 pair = ImagePair(filler=state.removeprefix(_FILLER), service=image)
-                weight = 1.0 / (known.variance(state) + 0.01)
-                weight -= self._first_weight_by_pair.get(pair, 0.0)
+                weight = 1.0 / (model.variance(state) + 0.01)
+                weight -= self._initial_weight_by_pair.get(pair, 0.0)
                 if weight > 0:
                     rounded = Pressure(
                         pair=pair, value=round(value, 1), weight=round(weight, 2)
@@ -173,30 +174,32 @@
         return pressures
 
     def pressure(self, filler: str, service: str) -> Estimate:
-        """Return the pressure of a pair: seen here, seen elsewhere, or a guess."""
-        known = self._filter_by_image.get(service)
+        """Return the pressure of a pair: learned here, learned elsewhere or `PRIOR`."""
+        model = self._model_by_image.get(service)
         state = _FILLER + filler
-        if known is not None and state in known.mean:
-            spread = math.sqrt(known.variance(state))
-            return Estimate(value=known.mean[state], spread=spread)
-        return self._first(ImagePair(filler=filler, service=service))
+        if model is not None and state in model.mean:
+            spread = math.sqrt(model.variance(state))
+            return Estimate(value=model.mean[state], spread=spread)
+        return self._initial_estimate(ImagePair(filler=filler, service=service))
 
     def undisturbed_margin(self, observation: Observation) -> float:
-        """Return the margin a service will have without fillers until the next look."""
-        known = self._filter_by_image.get(observation.image)
+        """Return the predicted margin without fillers until the next poll."""
+        model = self._model_by_image.get(observation.image)
         state = _MARGIN + observation.job
-        if known is None or state not in known.mean:
+        if model is None or state not in model.mean:
             return observation.margin
-        ahead = known.mean[state] + _AHEAD_S * known.mean[_SLOPE + observation.job]
-        own = self._service_by_run.get(observation.service)
-        return ahead + (0.0 if own is None else min(own.deviation, 0.0))
+        predicted = (
+            model.mean[state] + _PREDICTION_S * model.mean[_SLOPE + observation.job]
+        )
+        history = self._service_by_run.get(observation.service)
+        return predicted + (0.0 if history is None else min(history.deviation, 0.0))
 
     def usual_margin(self, observation: Observation) -> float:
-        """Return the margin a service has without fillers most of the time."""
+        """Return the average margin without fillers."""
         return self._usual_by_job.get(observation.job, observation.margin)
 
     def least_margin(self, observation: Observation) -> float:
-        """Return the margin a service has without fillers at the peaks of its load."""
+        """Return the margin without fillers at load peaks."""
         return self._least_by_job.get(observation.job, observation.margin)
 
     def learn(
@@ -205,130 +208,143 @@
         share_by_image: Mapping[str, float],
         now: timedelta,
     ) -> None:
-        """Take in one look.
+        """Update the estimates with one poll.
 
         Parameters
         ----------
         share_by_image : mapping
-            The part of the worker's processors that fillers of an image use.
+            Share of the worker's processors that fillers of each image use.
         """
-        self._forget_gone(observations)
-        self._pass_time(now, share_by_image)
+        self._remove_ended(observations)
+        self._advance(now, share_by_image)
         for observation in observations:
             self._learn_service(observation, now)
         for observation in observations:
-            self._note_usual(observation)
+            self._update_usual(observation)
 
-    def _forget_gone(self, observations: list[Observation]) -> None:
+    def _remove_ended(self, observations: list[Observation]) -> None:
         seen = {each.service for each in observations}
         for run in [run for run in self._service_by_run if run not in seen]:
             del self._service_by_run[run]
         jobs = {each.job for each in observations}
-        for known in self._filter_by_image.values():
-            for state in list(known.mean):
+        for model in self._model_by_image.values():
+            for state in list(model.mean):
                 kind, _, name = state.partition(":")
                 if kind + ":" in (_MARGIN, _SLOPE) and name not in jobs:
-                    known.remove(state)
+                    model.remove(state)
         for job in [job for job in self._usual_by_job if job not in jobs]:
             del self._usual_by_job[job]
             self._least_by_job.pop(job, None)
 
-    def _pass_time(self, now: timedelta, share_by_image: Mapping[str, float]) -> None:
-        """Let margins go on along their slopes, and all become less certain."""
-        span = timedelta(0) if self._learned is None else now - self._learned
+    def _advance(self, now: timedelta, share_by_image: Mapping[str, float]) -> None:
+        """Advance margins along their slopes and add process noise to all states."""
+        span = timedelta(0) if self._updated_at is None else now - self._updated_at
         span_s = span.total_seconds()
-        self._learned = now
-        kept = _KEPT_IN_HALF_SECOND ** (span / _HALF_SECOND)
-        smooth_by_image: dict[str, float] = {}
-        for image in {*self._smooth_by_image, *share_by_image}:
-            before = self._smooth_by_image.get(image, 0.0)
-            share = kept * before + (1.0 - kept) * share_by_image.get(image, 0.0)
-            if share > _LEAST_SHARE:
-                smooth_by_image[image] = share
-        self._smooth_by_image = smooth_by_image
-        for known in self._filter_by_image.values():
-            for state in list(known.mean):
+        self._updated_at = now
+        retained = _SMOOTHING ** (span / _HALF_SECOND)
+        smoothed_share_by_image: dict[str, float] = {}
+        for image in {*self._smoothed_share_by_image, *share_by_image}:
+            before = self._smoothed_share_by_image.get(image, 0.0)
+            share = retained * before + (1.0 - retained) * share_by_image.get(
+                image, 0.0
+            )
+            if share > _MIN_SHARE:
+                smoothed_share_by_image[image] = share
+        self._smoothed_share_by_image = smoothed_share_by_image
+        for model in self._model_by_image.values():
+            for state in list(model.mean):
                 if state.startswith(_MARGIN):
                     slope = _SLOPE + state.removeprefix(_MARGIN)
-                    known.move(state, slope, span_s)
-                    known.fade(slope, _SLOPE_KEPT**span_s)
-                    known.drift(state, _MARGIN_DRIFT * span_s, _MAX_MARGIN**2)
-                    known.drift(slope, _SLOPE_DRIFT * span_s, _MAX_SLOPE_VARIANCE)
+                    model.advance(state, slope, span_s)
+                    model.decay(slope, _SLOPE_DECAY**span_s)
+                    model.add_variance(state, _MARGIN_DRIFT * span_s, _MAX_MARGIN**2)
+                    model.add_variance(
+                        slope, _SLOPE_DRIFT * span_s, _MAX_SLOPE_VARIANCE
+                    )
                 elif state.startswith(_FILLER):
                     variance = _PRESSURE_DRIFT * span_s
-                    known.drift(state, variance, _MAX_PRESSURE_VARIANCE)
+                    model.add_variance(state, variance, _MAX_PRESSURE_VARIANCE)
 
     def _learn_service(
         self,
         observation: Observation,
         now: timedelta,
     ) -> None:
-        own = self._service_by_run.setdefault(observation.service, _Service())
-        own.looks += 1
-        margin, noise = _recover(observation, own, now)
-        own.seen, own.latency_ms = now, observation.latency_ms
-        if own.looks <= _WARM_UP_LOOKS:
+        history = self._service_by_run.setdefault(
+            observation.service, _ServiceHistory()
+        )
+        history.looks += 1
+        margin, noise = _unsmooth(observation, history, now)
+        history.seen, history.latency_ms = now, observation.latency_ms
+        if history.looks <= _WARM_UP_POLLS:
             return
-        known = self._filter_by_image.setdefault(observation.image, MarginFilter())
-        factors = self._factors(known, observation)
-        expected = known.expect(factors)
-        if margin < _SATURATED and expected < _SATURATED:
+        model = self._model_by_image.setdefault(observation.image, MarginFilter())
+        factors = self._factors(model, observation)
+        expected = model.predict(factors)
+        if margin < _SATURATED_MARGIN and expected < _SATURATED_MARGIN:
             return
-        known.update(margin, factors, noise)
-        for state, value in known.mean.items():
+        model.update(margin, factors, noise)
+        for state, value in model.mean.items():
             if state.startswith(_FILLER):
-                known.mean[state] = min(max(value, 0.0), _MAX_PRESSURE)
+                model.mean[state] = min(max(value, 0.0), _MAX_PRESSURE)
             elif state.startswith(_MARGIN):
-                known.mean[state] = min(max(value, 0.0), _MAX_MARGIN)
-        left = margin - known.expect(factors)
-        own.deviation += (left - own.deviation) * (1.0 - _DEVIATION_KEPT)
+                model.mean[state] = min(max(value, 0.0), _MAX_MARGIN)
+        residual = margin - model.predict(factors)
+        history.deviation += (residual - history.deviation) * (
+            1.0 - _DEVIATION_SMOOTHING
+        )
 
     def _factors(
-        self, known: MarginFilter, observation: Observation
+        self, model: MarginFilter, observation: Observation
     ) -> dict[str, float]:
-        """Return how a margin is made up; what is new begins with a guess."""
+        """Return the factors of the states in a margin, adding states that are new."""
         factors: dict[str, float] = {}
-        for filler, share in self._smooth_by_image.items():
+        for filler, share in self._smoothed_share_by_image.items():
             state = _FILLER + filler
-            if state not in known.mean:
+            if state not in model.mean:
                 pair = ImagePair(filler=filler, service=observation.image)
-                first = self._first(pair)
-                self._first_weight_by_pair[pair] = first.spread**-2
-                known.add(state, first.value, first.spread)
+                initial = self._initial_estimate(pair)
+                self._initial_weight_by_pair[pair] = initial.spread**-2
+                model.add(state, initial.value, initial.spread)
             factors[state] = -share
         state = _MARGIN + observation.job
-        known.add(state, _FIRST_MARGIN, _FIRST_MARGIN_SPREAD)
-        known.add(_SLOPE + observation.job, 0.0, _FIRST_SLOPE_SPREAD)
+        model.add(state, _INITIAL_MARGIN, _INITIAL_MARGIN_SPREAD)
+        model.add(_SLOPE + observation.job, 0.0, _INITIAL_SLOPE_SPREAD)
         factors[state] = 1.0
         return factors
 
-    def _note_usual(self, observation: Observation) -> None:
-        known = self._filter_by_image.get(observation.image)
-        if known is None or _MARGIN + observation.job not in known.mean:
+    def _update_usual(self, observation: Observation) -> None:
+        model = self._model_by_image.get(observation.image)
+        if model is None or _MARGIN + observation.job not in model.mean:
             return
-        margin = known.mean[_MARGIN + observation.job]
+        margin = model.mean[_MARGIN + observation.job]
         usual = self._usual_by_job.setdefault(observation.job, margin)
         self._usual_by_job[observation.job] += (margin - usual) * _USUAL_SMOOTHING
         least = self._least_by_job.get(observation.job, margin)
-        least = min(margin, least + max(usual - least, 0.0) * _LEAST_RECOVERED)
+        least = min(margin, least + max(usual - least, 0.0) * _LEAST_RECOVERY)
         self._least_by_job[observation.job] = least
 
-    def _first(self, pair: ImagePair) -> Estimate:
-        """Return with what a pair begins here."""
+    def _initial_estimate(self, pair: ImagePair) -> Estimate:
+        """Return the estimate with which learning of a pair starts here."""
         return self._shared_by_pair.get(pair, PRIOR)
 
 
-def _recover(
-    observation: Observation, own: _Service, now: timedelta
+def _unsmooth(
+    observation: Observation, history: _ServiceHistory, now: timedelta
 ) -> tuple[float, float]:
-    """Return the margin since the last look, undoing the smoothing, and its noise."""
+    """Return the margin since the last poll and its standard deviation.
+
+    Undoes the smoothing if the latency has dropped.
+    """
     latency = observation.latency_ms
-    falling = 0.0
-    if own.latency_ms > latency * _MUCH_HIGHER:
-        kept = _KEPT_IN_HALF_SECOND ** ((now - own.seen) / _HALF_SECOND)
-        recovered = (latency - kept * own.latency_ms) / max(1.0 - kept, 0.1)
-        latency = max(recovered, _MIN_RECOVERED * latency)
-        falling = _FALLING_NOISE
+    unsmoothing = 0.0
+    if history.latency_ms > latency * _MIN_LATENCY_DROP:
+        retained = _SMOOTHING ** ((now - history.seen) / _HALF_SECOND)
+        unsmoothed = (latency - retained * history.latency_ms) / max(
+            1.0 - retained, 0.1
+        )
+        latency = max(unsmoothed, _MIN_UNSMOOTHED * latency)
+        unsmoothing = _UNSMOOTHING_NOISE
     margin = min(observation.target_ms / latency, _MAX_MARGIN)
     rounding = margin * _ROUNDING_MS / latency
-    return margin, math.hypot(_MARGIN_NOISE, rounding, falling)
+    return margin, math.hypot(_MARGIN_NOISE, rounding, unsmoothing)
