--- a/coltsfoottray/agent/pacing.py
+++ b/coltsfoottray/agent/pacing.py
@@ -18,7 +18,7 @@
 from coltsfoottray.jobs.model import RunRef
 from coltsfoottray.logs import log_event
 
-__all__ = ["FULL_SPEED", "SAFETY_MARGIN", "FillerRun", "Pacer", "is_worth_an_order"]
+__all__ = ["FULL_SPEED", "SAFETY_MARGIN", "FillerRun", "Pacer", "is_significant_change"]
 
 FULL_SPEED = 100
 
@@ -184,7 +184,7 @@
     return max(int(spare / demand * FULL_SPEED), _MIN_PERCENT)
 
 
-def is_worth_an_order(before: int, percent: int) -> bool:
+def is_significant_change(before: int, percent: int) -> bool:
     """Whether the speed stops, resumes, becomes full or changes by at least a tenth."""
     if percent in (0, FULL_SPEED) or before == 0:
         return percent != before
--- a/coltsfoottray/agent/speeds.py
+++ b/coltsfoottray/agent/speeds.py
@@ -1,11 +1,16 @@
-"""Watches services and fillers on a worker, and sets the fillers' speeds."""
+"""Control of the speeds of fillers on one worker."""
 
 from __future__ import annotations
 
 import trio
 
 from coltsfoottray.agent.learning import Observation, PressureLearner
-from coltsfoottray.agent.pacing import FULL_SPEED, FillerRun, Pacer, is_worth_an_order
+from coltsfoottray.agent.pacing import (
+    FULL_SPEED,
+    FillerRun,
+    Pacer,
+    is_significant_change,
+)
 from coltsfoottray.agent.pressure import SERVICE_USE, Pressure, ServiceMargin
 from coltsfoottray.agent.runs import Runs
 from coltsfoottray.agent.worker import Heartbeat, WorkerLink, WorkerReplaced
@@ -20,12 +25,19 @@
 
 
 class SpeedController:
-    """Learns from each look and carries out what the pacer decides.
+    """Updates the learner after each poll and applies the speed limits of the pacer.
 
     Parameters
     ----------
     link : WorkerLink
-        Takes the orders.
+        Link to the worker.
+
+    Attributes
+    ----------
+    percent_by_ref : dict
+        Speed limits in percent that the worker has confirmed.
+    margin_by_image : dict
+        Margins without fillers, by service image.
     """
 
     def __init__(self, *, link: WorkerLink, clock: Clock) -> None:
@@ -38,37 +50,37 @@
         self.margin_by_image: dict[str, ServiceMargin] = {}
 
     def reset(self) -> None:
-        """Forget the speeds that were set: another life knows nothing of them."""
+        """Discard the speed limits, which a new incarnation does not know."""
         self.percent_by_ref = {}
         self._observations = []
 
     def pressures(self) -> list[Pressure]:
-        """Return what was learned here."""
+        """Return the pressures learned on this worker."""
         return self._learner.local_pressures()
 
     def set_shared_pressures(self, pressures: list[Pressure]) -> None:
-        """Take in what others have learned."""
+        """Set the pressures that all workers together have learned."""
         self._learner.set_shared_pressures(pressures)
 
     @property
     def has_services(self) -> bool:
-        """Whether the last look showed services with a target."""
+        """Whether the last poll showed services with a latency target."""
         return bool(self._observations)
 
     async def update(self, heartbeat: Heartbeat, runs: Runs, fence: int) -> None:
-        """Learn from the last look and set the speed of fillers by it."""
+        """Update the learner with the last poll and set the speeds of fillers."""
         self._observations = self._observe(heartbeat, runs)
         await self.set_speeds(heartbeat, runs, fence)
 
     async def set_speeds(self, heartbeat: Heartbeat, runs: Runs, fence: int) -> None:
-        """Set the speed of all fillers, also of those just started."""
+        """Set the speeds of all fillers, including those that have just started."""
         observations = self._observations
         fillers = _fillers(heartbeat, runs)
         percent_by_ref = self._pacer.adjust(
             observations,
             fillers,
             self._clock.elapsed(),
-            available_share=_left_share(heartbeat, runs),
+            available_share=_available_share(heartbeat, runs),
         )
         self.percent_by_ref = {
             ref: percent
@@ -77,20 +89,22 @@
         }
         async with trio.open_nursery() as nursery:
             for ref, percent in percent_by_ref.items():
-                if is_worth_an_order(self.percent_by_ref.get(ref, FULL_SPEED), percent):
+                if is_significant_change(
+                    self.percent_by_ref.get(ref, FULL_SPEED), percent
+                ):
                     nursery.start_soon(self._set_speed, heartbeat, ref, percent, fence)
 
     def _observe(self, heartbeat: Heartbeat, runs: Runs) -> list[Observation]:
-        """Learn from what the last look showed; return the services."""
+        """Update the learner with the last poll; return the services observed."""
         observations: list[Observation] = []
         share_by_image: dict[str, float] = {}
-        whole = max(heartbeat.capacity.processors, 1e-9)
+        capacity = max(heartbeat.capacity.processors, 1e-9)
         for status in runs.running:
             order = runs.order_by_ref.get(status.ref)
             if order is None:
                 continue
             if order.is_filler:
-                used = status.figure / _MILLI / whole
+                used = status.figure / _MILLI / capacity
                 share_by_image[order.image] = (
                     share_by_image.get(order.image, 0.0) + used
                 )
@@ -116,7 +130,7 @@
                 heartbeat=heartbeat, ref=ref, percent=percent, fence=fence
             )
         except (CommunicationError, WorkerReplaced) as error:
-            # Not noted as set, so the next look's adjustment sets it again.
+            # The limit is not recorded, so it is set again after the next poll.
             self.percent_by_ref.pop(ref, None)
             log_event("worker:pace-failed", run=str(ref), reason=str(error))
             return
@@ -124,23 +138,23 @@
         log_event("decision:pace", run=str(ref), percent=percent)
 
 
-def _left_share(heartbeat: Heartbeat, runs: Runs) -> float:
-    """Return the part of the worker that tasks other than fillers leave."""
-    taken = sum(
+def _available_share(heartbeat: Heartbeat, runs: Runs) -> float:
+    """Return the share of the worker's processors that other tasks leave to fillers."""
+    used = sum(
         order.processors * (SERVICE_USE if order.target_latency_ms else 1.0)
         for order in runs.order_by_ref.values()
         if not order.is_filler
     )
-    whole = max(heartbeat.capacity.processors, 1e-9)
-    return max(1.0 - taken / whole, 0.0)
+    capacity = max(heartbeat.capacity.processors, 1e-9)
+    return max(1.0 - used / capacity, 0.0)
 
 
 def _fillers(heartbeat: Heartbeat, runs: Runs) -> list[FillerRun]:
-    whole = max(heartbeat.capacity.processors, 1e-9)
-    there = {status.ref for status in runs.running}
-    there.update(runs.started_by_ref)
+    capacity = max(heartbeat.capacity.processors, 1e-9)
+    present = {status.ref for status in runs.running}
+    present.update(runs.started_by_ref)
     return [
-        FillerRun(ref=ref, image=order.image, share=order.processors / whole)
+        FillerRun(ref=ref, image=order.image, share=order.processors / capacity)
         for ref, order in runs.order_by_ref.items()
-        if order.is_filler and ref in there
+        if order.is_filler and ref in present
     ]
