--- a/coltsfoottray/worker/attendant.py
+++ b/coltsfoottray/worker/attendant.py
@@ -1,4 +1,4 @@
-"""Judging and starting attempts on one worker."""
+"""Admission, start and supervision of attempts on one worker."""
 
 from __future__ import annotations
 
@@ -41,18 +41,22 @@
 
 __all__ = ["WorkerAttendant"]
 
-# An uncommitted reservation is dropped after this: its owner has died, and the
-# start that may still come is judged anew.
+# A reservation that was not started is dropped after this time: its owner has died. A
+# start that still arrives is checked again.
 RESERVATION_TIMEOUT = timedelta(seconds=10)
-# An end is written down within this, unless something is wrong.
-RESULT_AFTER = timedelta(seconds=1)
+# Owners normally store an end within this time.
+RESULT_DELAY = timedelta(seconds=1)
 
 
 class WorkerAttendant(Service):
-    """Answers owners' calls and reports what runs and what has ended.
+    """Answers the calls of task owners and reports the attempts on its worker.
 
     Parameters
     ----------
+    interval : timedelta
+        Time between two reads of the worker's state.
+    checkpoint_interval : timedelta
+        Time between two checkpoints of a running attempt.
     on_change : callable
         Called after a task has ended, to announce it without delay.
     """
@@ -87,16 +91,17 @@
         self._is_ready = False
 
     def add_handlers(self, handlers: CallHandlers) -> None:
-        """Answer the owners' calls."""
+        """Register the handlers of the owners' calls."""
         handlers.add(RESERVE, self.reserve)
         handlers.add(START, self.start)
         handlers.add(STOP, self.stop_attempt)
         handlers.add(FORGET, self.forget)
 
     def report(self) -> WorkerReport:
-        """Return what entries are told of this worker."""
-        # Told of room on a lost VM, owners spend all their proposals on refusals.
-        # Only placing reads this term: what runs here is given up by the row alone.
+        """Return the report on this worker that is sent to entries."""
+        # Term 0 stops owners from proposing placements on a lost VM, all of which would
+        # be refused. Only placement reads this term: whether attempts are lost is
+        # decided by the lease row alone.
         takes_tasks = self._is_ready and self._lease.is_valid
         return WorkerReport(
             capacity=self._ledger.capacity,
@@ -110,47 +115,49 @@
     ) -> None:
         task_status.started()
         while True:
-            # Apart: an end seen on a worker that answers no more is stored all the
-            # same. Else its task is queued again at the lapse and runs once more.
-            await self._try(self._keep_results)
-            await self._try(self._tend)
+            # Separate steps, because an end must be stored even if the worker no longer
+            # answers: otherwise its task is requeued at the lapse and runs again.
+            await self._run_step(self._store_results)
+            await self._run_step(self._maintain)
             await self._clock.sleep(self._interval)
 
     async def wait_idle(self) -> None:
-        """Return once nothing is committed here."""
+        """Wait until no resources are committed."""
         while self._ledger.committed != Resources():
             await self._clock.sleep(self._interval)
 
     async def reserve(self, request: ReserveRequest) -> StartReply:
-        """Answer `RESERVE`."""
+        """Handle `RESERVE`."""
         return self._reply(
-            self._judge(request.incarnation, request.spec.task, request.attempt)
-            or self._hold(request.spec.task, request.attempt, request.spec.demand)
+            self._check_admission(
+                request.incarnation, request.spec.task, request.attempt
+            )
+            or self._reserve(request.spec.task, request.attempt, request.spec.demand)
         )
 
     async def start(self, request: StartRequest) -> StartReply:
-        """Answer `START`; the same attempt starts once however often asked."""
+        """Handle `START`; repeated requests start an attempt only once."""
         spec = request.spec
-        refusal = self._judge(request.incarnation, spec.task, request.attempt)
+        refusal = self._check_admission(request.incarnation, spec.task, request.attempt)
         if refusal is None and request.term != self._lease.term:
             refusal = Verdict.WRONG_LIFE
         if refusal is None:
-            refusal = await self._judge_start(request)
-        verdict = refusal or self._hold(spec.task, request.attempt, spec.demand)
+            refusal = await self._check_start(request)
+        verdict = refusal or self._reserve(spec.task, request.attempt, spec.demand)
         if verdict is Verdict.GRANTED:
-            verdict = await self._start_held(request)
+            verdict = await self._start_reserved(request)
         return self._reply(verdict)
 
-    async def _judge_start(self, request: StartRequest) -> Verdict | None:
-        """Return why the attempt may not start, None if the table has it here.
+    async def _check_start(self, request: StartRequest) -> Verdict | None:
+        """Return why the attempt may not start, None if the table assigns it here.
 
-        Where its room is held the owner has just reserved it. Otherwise the
-        start may come from an owner that has lost the table, for a task that
-        has long ended under another owner and was forgotten here.
+        If a reservation exists, the owner has just made it. Otherwise the request may
+        come from an owner that has lost the table, for a task that has ended under
+        another owner and whose record was dropped here.
         """
         task = request.spec.task
-        held = self._ledger.reservation_by_task.get(task)
-        if held is not None and held.attempt == request.attempt:
+        reservation = self._ledger.reservation_by_task.get(task)
+        if reservation is not None and reservation.attempt == request.attempt:
             return None
         try:
             stored = await self._store.find(request.spec.customer, task)
@@ -166,16 +173,16 @@
         )
         if not is_here:
             return Verdict.STOPPED
-        return self._judge(request.incarnation, task, request.attempt)
+        return self._check_admission(request.incarnation, task, request.attempt)
 
     async def stop_attempt(self, request: StopRequest) -> StopReply:
-        """Answer `STOP`: afterwards the attempt never runs here again."""
+        """Handle `STOP`; afterwards the attempt cannot run here any more."""
         if request.incarnation != self._incarnation or not self._is_ready:
             return StopReply(is_stopped=False)
-        held = self._ledger.reservation_by_task.get(request.task)
+        reservation = self._ledger.reservation_by_task.get(request.task)
         checkpoint = ""
         try:
-            is_here = held is not None and held.attempt == request.attempt
+            is_here = reservation is not None and reservation.attempt == request.attempt
             if is_here and request.wants_checkpoint:
                 checkpoint = checkpoint_name(request.task, request.attempt)
                 await self._control.checkpoint(
@@ -190,17 +197,17 @@
         return StopReply(is_stopped=True, checkpoint=checkpoint)
 
     async def forget(self, request: ForgetRequest) -> ForgetReply:
-        """Answer `FORGET`."""
+        """Handle `FORGET`."""
         if request.incarnation == self._incarnation:
             self._ledger.drop(request.task, request.attempt)
             self._report_by_task.pop(request.task, None)
             await self._control.forget(task=request.task, attempt=request.attempt)
         return ForgetReply()
 
-    def _judge(
+    def _check_admission(
         self, incarnation: Incarnation, task: TaskId, attempt: int
     ) -> Verdict | None:
-        """Return why nothing may start, None if nothing stands against it."""
+        """Return why the attempt is not admitted, None if it may be."""
         if incarnation != self._incarnation:
             return Verdict.WRONG_LIFE
         if not self._is_ready or not self._lease.is_valid:
@@ -209,14 +216,14 @@
             return Verdict.STOPPED
         return None
 
-    def _hold(self, task: TaskId, attempt: int, demand: Resources) -> Verdict:
+    def _reserve(self, task: TaskId, attempt: int, demand: Resources) -> Verdict:
         reservation = Reservation(
             task=task, attempt=attempt, demand=demand, made_at=self._clock.elapsed()
         )
-        is_held = self._ledger.reserve(reservation)
-        return Verdict.GRANTED if is_held else Verdict.NO_ROOM
+        is_reserved = self._ledger.reserve(reservation)
+        return Verdict.GRANTED if is_reserved else Verdict.NO_ROOM
 
-    async def _start_held(self, request: StartRequest) -> Verdict:
+    async def _start_reserved(self, request: StartRequest) -> Verdict:
         spec = request.spec
         start = TaskStart(
             task=spec.task,
@@ -227,13 +234,13 @@
             holder=self._incarnation,
             payload=spec.payload,
         )
-        held = self._ledger.reservation_by_task[spec.task]
-        held.is_started = True
+        reservation = self._ledger.reservation_by_task[spec.task]
+        reservation.is_started = True
         try:
             await self._control.start(start)
         except CommunicationError as error:
-            # It may have started all the same: the room stays held until the
-            # owner stops the attempt or the worker reports on it.
+            # The attempt may have started, so its reservation is kept until the owner
+            # stops it or the worker reports it.
             log_event("worker:not-started", task=spec.task, error=str(error))
             return Verdict.WORKER_FAILED
         return Verdict.GRANTED
@@ -241,40 +248,40 @@
     def _reply(self, verdict: Verdict) -> StartReply:
         return StartReply(verdict=verdict, term=self._lease.term, report=self.report())
 
-    async def _try(self, step: Callable[[], Awaitable[None]]) -> None:
+    async def _run_step(self, step: Callable[[], Awaitable[None]]) -> None:
         try:
             await step()
         except (CommunicationError, TableUnavailable) as error:
             log_event("worker:untended", error=str(error))
 
-    async def _tend(self) -> None:
+    async def _maintain(self) -> None:
         if self._lease.term != self._ledger_term or not self._is_ready:
             await self._rebuild()
         self._drop_stale_reservations()
         await self._take_checkpoints()
-        if await self._take_reports():
+        if await self._update_reports():
             await self._on_change()
 
     async def _rebuild(self) -> None:
-        """Make the ledger anew from the worker and the table.
+        """Rebuild the ledger from the worker and the table.
 
-        After a restart the memory of what was granted is gone; until it is
-        rebuilt nothing is admitted, or the same room would be given twice.
+        A restart loses the reservations in memory. Nothing is admitted until they are
+        rebuilt, as resources would otherwise be committed twice.
         """
         self._is_ready = False
         term = self._lease.term
         if term == 0:
             return
-        # The ledger goes: an end that is not stored would go with it, and its task
-        # would be queued again and run once more.
-        await self._keep_results(after=timedelta(0))
+        # Replacing the ledger discards ends whose results are not stored; their tasks
+        # would be requeued and run again.
+        await self._store_results(delay=timedelta(0))
         description = await self._control.describe()
         ledger = CapacityLedger(capacity=description.capacity)
-        for row in await self._bound_rows(term):
-            ledger.reserve(self._as_reservation(row))
+        for row in await self._load_assigned_rows(term):
+            ledger.reserve(self._reservation_of(row))
         for running in await self._control.tasks():
-            held = ledger.reservation_by_task.get(running.task)
-            if held is None or held.attempt != running.attempt:
+            reservation = ledger.reservation_by_task.get(running.task)
+            if reservation is None or reservation.attempt != running.attempt:
                 await self._control.stop(task=running.task, attempt=running.attempt)
         self._ledger = ledger
         self._ledger_term = term
@@ -282,7 +289,7 @@
         self._is_ready = True
         log_event("worker:ready", worker=self._worker, term=term)
 
-    async def _bound_rows(self, term: int) -> list[TaskRow]:
+    async def _load_assigned_rows(self, term: int) -> list[TaskRow]:
         rows: list[TaskRow] = []
         for partition in range(PARTITION_COUNT):
             for stored in await self._store.load(partition):
@@ -292,7 +299,7 @@
                     rows.append(row)
         return rows
 
-    def _as_reservation(self, row: TaskRow) -> Reservation:
+    def _reservation_of(self, row: TaskRow) -> Reservation:
         return Reservation(
             task=row.spec.task,
             attempt=row.attempt,
@@ -302,56 +309,58 @@
         )
 
     async def _take_checkpoints(self) -> None:
-        """Checkpoint what has run for an interval since the last time.
+        """Take a checkpoint of attempts whose last one is an interval old.
 
-        The name holds the attempt, so a paused worker that wakes overwrites
-        nothing of a later attempt.
+        The name contains the attempt, so a worker that resumes after a pause does not
+        overwrite the checkpoint of a later attempt.
         """
         now = self._clock.elapsed()
-        for held in list(self._ledger.reservation_by_task.values()):
-            is_due = now - held.made_at >= self._checkpoint_interval
-            if is_due and held.is_started and held.exit_code is None:
+        for reservation in list(self._ledger.reservation_by_task.values()):
+            is_due = now - reservation.made_at >= self._checkpoint_interval
+            if is_due and reservation.is_started and reservation.exit_code is None:
                 await self._control.checkpoint(
-                    task=held.task,
-                    attempt=held.attempt,
-                    name=checkpoint_name(held.task, held.attempt),
+                    task=reservation.task,
+                    attempt=reservation.attempt,
+                    name=checkpoint_name(reservation.task, reservation.attempt),
                 )
-                held.made_at = now
+                reservation.made_at = now
 
     def _drop_stale_reservations(self) -> None:
         oldest = self._clock.elapsed() - RESERVATION_TIMEOUT
-        for held in list(self._ledger.reservation_by_task.values()):
-            if not held.is_started and held.made_at < oldest:
-                self._ledger.drop(held.task, held.attempt)
+        for reservation in list(self._ledger.reservation_by_task.values()):
+            if not reservation.is_started and reservation.made_at < oldest:
+                self._ledger.drop(reservation.task, reservation.attempt)
 
-    async def _keep_results(self, after: timedelta = RESULT_AFTER) -> None:
-        """Store the exit codes that no owner has acknowledged for a while.
+    async def _store_results(self, delay: timedelta = RESULT_DELAY) -> None:
+        """Store exit codes that no owner has acknowledged within `delay`.
 
-        If the lease lapses, or the VM vanishes, before the owner has written
-        the end down, it finds the result there and does not run the task again.
+        If the lease lapses or the VM is lost before the owner has stored the end, the
+        owner finds the result in the object store and does not run the task again.
         """
-        oldest = self._clock.elapsed() - after
-        for held in list(self._ledger.reservation_by_task.values()):
-            is_due = held.ended_at is not None and held.ended_at <= oldest
-            if is_due and not held.has_result:
-                name = result_name(held.task, held.attempt)
-                await self._objects.write(name, msgspec.json.encode(held.exit_code))
-                held.has_result = True
-
-    async def _take_reports(self) -> bool:
-        """Read the worker's reports; return whether a task has newly ended."""
+        oldest = self._clock.elapsed() - delay
+        for reservation in list(self._ledger.reservation_by_task.values()):
+            is_due = reservation.ended_at is not None and reservation.ended_at <= oldest
+            if is_due and not reservation.has_result:
+                name = result_name(reservation.task, reservation.attempt)
+                await self._objects.write(
+                    name, msgspec.json.encode(reservation.exit_code)
+                )
+                reservation.has_result = True
+
+    async def _update_reports(self) -> bool:
+        """Read the state of the worker's tasks; return whether any has newly ended."""
         has_ended = False
-        told = list(self._report_by_task.values())
+        reported = list(self._report_by_task.values())
         listed = await self._control.tasks()
-        self._drop_vanished(told, {(r.task, r.attempt) for r in listed})
+        self._drop_lost_attempts(reported, {(r.task, r.attempt) for r in listed})
         for running in listed:
-            held = self._ledger.reservation_by_task.get(running.task)
-            if held is None or held.attempt != running.attempt:
+            reservation = self._ledger.reservation_by_task.get(running.task)
+            if reservation is None or reservation.attempt != running.attempt:
                 continue
-            if running.exit_code is not None and held.exit_code is None:
+            if running.exit_code is not None and reservation.exit_code is None:
                 has_ended = True
-                held.exit_code = running.exit_code
-                held.ended_at = self._clock.elapsed()
+                reservation.exit_code = running.exit_code
+                reservation.ended_at = self._clock.elapsed()
             self._report_by_task[running.task] = AttemptReport(
                 task=running.task,
                 attempt=running.attempt,
@@ -361,15 +370,16 @@
             )
         return has_ended
 
-    def _drop_vanished(
-        self, told: Sequence[AttemptReport], listed: set[tuple[TaskId, int]]
+    def _drop_lost_attempts(
+        self, reported: Sequence[AttemptReport], listed: set[tuple[TaskId, int]]
     ) -> None:
-        """Tell no more of what the worker has lost; an end stays told.
+        """Stop reporting running attempts that the worker no longer lists.
 
-        Told for ever, it counts as running and is never queued again. Its owner
-        asks for the start then, and is refused: the attempt has run already.
+        A lost attempt that is still reported counts as running, and its task is never
+        requeued. Once it is not, the owner requests a start, which is refused because
+        the attempt has run before. Ends stay reported.
         """
-        for report in told:
+        for report in reported:
             if report.exit_code is None and (report.task, report.attempt) not in listed:
                 self._ledger.stop(report.task, report.attempt)
                 self._report_by_task.pop(report.task, None)
