--- a/coltsfoottray/worker/ledger.py
+++ b/coltsfoottray/worker/ledger.py
@@ -1,4 +1,4 @@
-"""What a worker's resources are committed to."""
+"""Ledger of the resources of a worker that are committed to attempts."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 @dataclass(kw_only=True)
 class Reservation:
-    """Room held by one attempt of a task.
+    """Resources reserved for one attempt of a task.
 
     Parameters
     ----------
     made_at : timedelta
-        When it was made or, once started, last checkpointed (monotonic).
+        Monotonic time of the reservation or, once started, of the last checkpoint.
     has_result : bool
         Whether the exit code is in the object store.
     """
@@ -33,10 +33,11 @@
 
 
 class CapacityLedger:
-    """Keeps the sum of what is committed within the worker's capacity.
+    """Keeps the resources committed to attempts within the worker's capacity.
 
-    There is one ledger for each worker and everything that starts there passes
-    it, so several entries placing at once by stale views cannot overcommit.
+    Each worker has one ledger, in which every attempt that starts there is reserved.
+    Entries that place tasks concurrently from stale views therefore cannot overcommit
+    the worker.
     """
 
     def __init__(self, *, capacity: Resources) -> None:
@@ -46,7 +47,7 @@
 
     @property
     def committed(self) -> Resources:
-        """The sum over attempts that have not ended."""
+        """Total resources of attempts that have not ended."""
         return Resources.total(
             [
                 reservation.demand
@@ -56,7 +57,7 @@
         )
 
     def reserve(self, reservation: Reservation) -> bool:
-        """Hold room; True also if this attempt holds it already."""
+        """Reserve resources; return True also if the attempt has a reservation."""
         held = self.reservation_by_task.get(reservation.task)
         if held is not None:
             return held.attempt == reservation.attempt
@@ -67,25 +68,25 @@
         return True
 
     def is_stopped(self, task: TaskId, attempt: int) -> bool:
-        """Whether `attempt` was ended here for good."""
+        """Whether `attempt` was stopped and can no longer start here."""
         return attempt <= self._stopped_attempt_by_task.get(task, -1)
 
     def stop(self, task: TaskId, attempt: int) -> None:
-        """Free the room; no attempt up to this one starts here any more.
+        """Release the reservation; no attempt up to this one can start here any more.
 
-        A start that was sent before the stop can arrive after it.
+        This covers a start that was sent before the stop but arrives after it.
         """
         before = self._stopped_attempt_by_task.get(task, -1)
         self._stopped_attempt_by_task[task] = max(before, attempt)
         self.drop(task, attempt)
 
     def drop(self, task: TaskId, attempt: int) -> None:
-        """Free the room if it is still this attempt's."""
+        """Release the reservation of the task if it belongs to this attempt."""
         held = self.reservation_by_task.get(task)
         if held is not None and held.attempt == attempt:
             del self.reservation_by_task[task]
 
     def clear(self) -> None:
-        """Forget everything, at the start of a new term."""
+        """Remove all reservations and stops, at the start of a new term."""
         self.reservation_by_task.clear()
         self._stopped_attempt_by_task.clear()
