--- a/coltsfoottray/agent/__init__.py
+++ b/coltsfoottray/agent/__init__.py
@@ -1,3 +1,3 @@
-"""The attendant of a worker that runs jobs' tasks: its lease, orders, reports."""
+"""Attendant of a worker that runs the tasks of jobs: lease, orders and reports."""
 
 from __future__ import annotations
--- a/coltsfoottray/worker/__init__.py
+++ b/coltsfoottray/worker/__init__.py
@@ -1,4 +1,4 @@
-"""The attendant beside a worker: the one judge of what its VM is committed to."""
+"""Attendant of a worker: the only authority on what its VM is committed to."""
 
 from __future__ import annotations
 
--- a/coltsfoottray/worker/messages.py
+++ b/coltsfoottray/worker/messages.py
@@ -1,4 +1,4 @@
-"""Calls from the owner of a task to the attendant of a worker."""
+"""Calls of task owners to the attendant of a worker."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Verdict(enum.Enum):
-    """The attendant's judgement on an attempt."""
+    """Result of a reservation or start request."""
 
     GRANTED = "granted"
     NO_ROOM = "no-room"
@@ -39,7 +39,7 @@
 
 
 class ReserveRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Set room aside for an attempt that is about to be committed."""
+    """Reserve resources for an attempt that is about to be committed."""
 
     spec: TaskSpec
     attempt: int
@@ -47,7 +47,7 @@
 
 
 class StartRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Start an attempt that the table says runs here, in this term."""
+    """Start an attempt that the table assigns to this worker in this term."""
 
     spec: TaskSpec
     attempt: int
@@ -57,7 +57,7 @@
 
 
 class StartReply(msgspec.Struct, frozen=True, kw_only=True):
-    """The verdict and the worker's fresh report."""
+    """Verdict, with the current term and report of the worker."""
 
     verdict: Verdict
     term: int
@@ -65,7 +65,7 @@
 
 
 class StopRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """End an attempt for good, by a checkpoint first where one is wanted."""
+    """Stop an attempt permanently, optionally after taking a checkpoint."""
 
     task: TaskId
     attempt: int
@@ -74,14 +74,14 @@
 
 
 class StopReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Whether the attempt can never run here again, and its checkpoint."""
+    """Whether the attempt can no longer run here, and the name of its checkpoint."""
 
     is_stopped: bool
     checkpoint: str = ""
 
 
 class ForgetRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """The attempt's end is in the table; the attendant may drop it."""
+    """Drop an attempt whose end is stored in the table."""
 
     task: TaskId
     attempt: int
@@ -89,7 +89,7 @@
 
 
 class ForgetReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Nothing to tell."""
+    """Empty reply."""
 
 
 RESERVE = Call(name="Reserve", request_type=ReserveRequest, reply_type=StartReply)
