--- a/tests/agent/pressures.feature
+++ b/tests/agent/pressures.feature
@@ -1,37 +1,37 @@
-Feature: Which fillers disturb which services
+Feature: Estimation of the pressure of fillers on services
 
-  Scenario: The users of a service come and go
-    # Guards against fillers blamed for the rise of a service's own load.
-    Given a worker with 3 tasks of a service whose load swings within 10 s
-    And a filler image "light" that hardly disturbs it
-    When 3 fillers of "light" work there for 30 s
-    Then "light" is known to be light
-    And fillers of "light" were at full speed from the 5th second on
+  Scenario: The load of a service varies
+    # Guards against attributing a rise of the service's own load to fillers.
+    Given a worker with 3 tasks of a service whose load has a 10 s period
+    And a filler image "light" that disturbs it lightly
+    When 3 fillers of "light" run there for 30 s
+    Then "light" is estimated to be light
+    And fillers of "light" ran at full speed from 5 s on
 
-  Scenario: Many light fillers press a service over its target together
-    # Guards against fillers that are each too light to be slowed, and too many together.
-    Given a worker with 3 tasks of a service whose load swings within 10 s
-    And a filler image "light" that hardly disturbs it
-    When 9 fillers of "light" work there for 60 s
-    Then "light" is known to be light
-    And the service was over its target for at most 3 percent of its looks
+  Scenario: Many light fillers together push a service over its target
+    # Guards against slowing no filler because each of them alone is light.
+    Given a worker with 3 tasks of a service whose load has a 10 s period
+    And a filler image "light" that disturbs it lightly
+    When 9 fillers of "light" run there for 60 s
+    Then "light" is estimated to be light
+    And the service exceeded its target in at most 3 percent of its polls
 
-  Scenario: A heavy filler is found out by one look
-    # Guards against blame that is shared with harmless fillers that were there before.
-    Given a worker with 3 tasks of a service whose load swings within 10 s
-    And a filler image "light" that hardly disturbs it
-    And a filler image "heavy" that disturbs it much
-    When 3 fillers of "light" work there for 15 s
+  Scenario: A heavy filler is identified within one second
+    # Guards against attributing its effect to light fillers that ran there before.
+    Given a worker with 3 tasks of a service whose load has a 10 s period
+    And a filler image "light" that disturbs it lightly
+    And a filler image "heavy" that disturbs it heavily
+    When 3 fillers of "light" run there for 15 s
     And 1 fillers of "heavy" join them for 1 s
-    Then "heavy" is known to be heavy
-    And "light" is known to be light
+    Then "heavy" is estimated to be heavy
+    And "light" is estimated to be light
 
-  Scenario: A heavy filler that is slowed down seems no lighter
-    # Guards against a smoothed latency compared with a speed that is not.
-    Given a worker with 3 tasks of a service whose load swings within 10 s
-    And a filler image "light" that hardly disturbs it
-    And a filler image "heavy" that disturbs it much
-    When 1 fillers of "light" work there for 10 s
+  Scenario: Slowing a heavy filler does not lower its estimated pressure
+    # Guards against comparing a smoothed latency with an unsmoothed speed.
+    Given a worker with 3 tasks of a service whose load has a 10 s period
+    And a filler image "light" that disturbs it lightly
+    And a filler image "heavy" that disturbs it heavily
+    When 1 fillers of "light" run there for 10 s
     And 2 fillers of "heavy" join them for 30 s
-    Then the pressure of "heavy" is known within 30 percent
-    And the service was over its target for at most 5 percent of its looks
+    Then the pressure of "heavy" is estimated within 30 percent
+    And the service exceeded its target in at most 5 percent of its polls
--- a/tests/steps/pressure_steps.py
+++ b/tests/steps/pressure_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what an attendant learns of fillers and services, without daemons."""
+"""Steps for the pressure learner and the pacer of an attendant, without daemons."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 _TARGET_MS = 45.0
 _UNLOADED_MARGIN = 4.5
 _SERVICE = "svc"
-# A filler's part of its worker at full speed.
+# Share of the worker's processors that a filler uses at full speed.
 _SHARE = 0.1
 _LIGHT = 0.2
 _HEAVY = 2.3
 
 
 @given(
-    "a worker with {count:d} tasks of a service whose load swings within {period:d} s"
+    "a worker with {count:d} tasks of a service whose load has a {period:d} s period"
 )
 def make_services(context, count, period):
     context.pressure_by_image = {}
@@ -38,38 +38,38 @@
     ]
     context.learner = PressureLearner()
     context.pacer = Pacer(learner=context.learner)
-    context.looks = 0
+    context.polls = 0
     context.fillers = []
     context.percent_by_ref = {}
     context.percents_by_image = {}
     context.margins = []
 
 
-@given('a filler image "{image}" that hardly disturbs it')
+@given('a filler image "{image}" that disturbs it lightly')
 def add_light_image(context, image):
     context.pressure_by_image[image] = _LIGHT
 
 
-@given('a filler image "{image}" that disturbs it much')
+@given('a filler image "{image}" that disturbs it heavily')
 def add_heavy_image(context, image):
     context.pressure_by_image[image] = _HEAVY
 
 
-@step('{count:d} fillers of "{image}" work there for {seconds:d} s')
+@step('{count:d} fillers of "{image}" run there for {seconds:d} s')
 @step('{count:d} fillers of "{image}" join them for {seconds:d} s')
-def work(context, count, image, seconds):
+def run_fillers(context, count, image, seconds):
     for _ in range(count):
         number = len(context.fillers)
         task = TaskRef(job=JobId("f" * 16), occurrence=0, step=0, index=number)
         ref = RunRef(task=task, run=1)
         context.fillers.append(FillerRun(ref=ref, image=image, share=_SHARE))
     for _ in range(round(seconds / LOOK_S)):
-        _look(context)
+        _poll(context)
 
 
-def _look(context):
-    now_s = context.looks * LOOK_S
-    context.looks += 1
+def _poll(context):
+    now_s = context.polls * LOOK_S
+    context.polls += 1
     share_by_image = Counter()
     for filler in context.fillers:
         percent = context.percent_by_ref.get(filler.ref, FULL_SPEED)
@@ -95,13 +95,13 @@
         percents.append((now_s, context.percent_by_ref[filler.ref]))
 
 
-@then('"{image}" is known to be {kind}')
+@then('"{image}" is estimated to be {kind}')
 def check_kind(context, image, kind):
     value = context.learner.pressure(image, _SERVICE).value
     assert (value < MAX_LIGHT_PRESSURE) == (kind == "light"), value
 
 
-@then('fillers of "{image}" were at full speed from the {second:d}th second on')
+@then('fillers of "{image}" ran at full speed from {second:d} s on')
 def check_speed(context, image, second):
     slowed = [
         each
@@ -111,14 +111,14 @@
     assert not slowed, slowed
 
 
-@then('the pressure of "{image}" is known within {percent:d} percent')
+@then('the pressure of "{image}" is estimated within {percent:d} percent')
 def check_pressure(context, image, percent):
-    known = context.learner.pressure(image, _SERVICE).value
+    estimated = context.learner.pressure(image, _SERVICE).value
     true = context.pressure_by_image[image] * _UNLOADED_MARGIN
-    assert abs(known - true) <= true * percent / 100, (known, true)
+    assert abs(estimated - true) <= true * percent / 100, (estimated, true)
 
 
-@then("the service was over its target for at most {percent:d} percent of its looks")
+@then("the service exceeded its target in at most {percent:d} percent of its polls")
 def check_margins(context, percent):
     over = sum(margin <= 1.0 for margin in context.margins)
     assert over <= len(context.margins) * percent / 100, (over, len(context.margins))
