--- a/coltsfoottray/agent/attendant.py
+++ b/coltsfoottray/agent/attendant.py
@@ -178,15 +178,15 @@
         self._has_lapsed = False
         if self._liveness.record_answer(sent_at):
             log_event("worker:reached", life=heartbeat.life)
-            # The scheduler did not renew the lease while the worker did not answer.
+            # The lease was not renewed while the worker did not answer.
             self.request_report()
         self._lease.set_reading(reply.clock)
         self._metrics.time("look", self._clock.elapsed() - sent_at)
         left = self._lease.remaining_grant(self._clock.elapsed())
         self._metrics.gauge("lease_left_seconds", left.total_seconds())
         self._metrics.gauge("runs_there", len(reply.running))
-        has_news = self._runs.apply_poll(reply, sent_at=sent_at)
-        if has_news or self._polled_session != session:
+        is_report_due = self._runs.apply_poll(reply, sent_at=sent_at)
+        if is_report_due or self._polled_session != session:
             self._polled_session = session
             self.request_report()
         if sent_at - self._last_paced >= _POLL_WAIT * 0.8:
@@ -209,10 +209,11 @@
         return self._acknowledged if is_pending and self._liveness.is_answering else 0
 
     def _check_lapse(self) -> None:
-        """Drop the runs of a worker that does not answer once its lease has expired.
+        """Drop the runs of a worker that does not answer once they cannot run any more.
 
-        This is reported immediately and again with each report, because a scheduler may
-        be replaced before it has stored the first one.
+        That is when its lease has expired or it is known to have ended. It is reported
+        immediately and with each later report, because a scheduler may be replaced
+        before it has stored the first one.
         """
         if self._liveness.is_answering or self._has_lapsed:
             return
--- a/coltsfoottray/agent/pacing.py
+++ b/coltsfoottray/agent/pacing.py
@@ -177,7 +177,7 @@
 
 
 def _affordable_percent(demand: float, spare: float) -> int:
-    """Return the speed in percent at which `demand` fits in the spare margin."""
+    """Return the percentage of `demand` that fits in `spare`, at least a minimum."""
     spare = max(spare, 0.0)
     if demand <= spare:
         return FULL_SPEED
--- a/coltsfoottray/agent/runs.py
+++ b/coltsfoottray/agent/runs.py
@@ -86,7 +86,7 @@
         self.rejected_by_ref[ref] = RejectedStart(ref=ref, reason=reason)
 
     def apply_poll(self, reply: PollReply, *, sent_at: timedelta) -> bool:
-        """Apply the reply to a poll; return whether there is news to report.
+        """Apply the reply to a poll; return whether a report is due.
 
         Parameters
         ----------
@@ -95,7 +95,7 @@
             confirmed later.
         """
         known = {end.number for end in self.ends}
-        has_news = any(end.number not in known for end in reply.ends)
+        is_report_due = any(end.number not in known for end in reply.ends)
         self.running = reply.running
         self.ends = reply.ends
         seen = {status.ref for status in reply.running}
@@ -106,19 +106,19 @@
         for ref, confirmed_at in list(self.started_by_ref.items()):
             if ref in seen or confirmed_at < sent_at:
                 del self.started_by_ref[ref]
-        has_news = self._resolve_stops(reply, sent_at) or has_news
-        has_news = self._resolve_refusals(reply, sent_at) or has_news
+        is_report_due = self._resolve_stops(reply, sent_at) or is_report_due
+        is_report_due = self._resolve_refusals(reply, sent_at) or is_report_due
         present = {status.ref for status in reply.running}
         present.update(self.starting, self.started_by_ref)
         for ref in [ref for ref in self.order_by_ref if ref not in present]:
             del self.order_by_ref[ref]
-        return has_news
+        return is_report_due
 
     def _resolve_stops(self, reply: PollReply, sent_at: timedelta) -> bool:
         """Remove completed stops; return whether one had no run."""
         running = {status.ref for status in reply.running}
         ended = {end.ref for end in reply.ends}
-        has_news = False
+        is_report_due = False
         for ref, confirmed_at in list(self.stopped_by_ref.items()):
             if confirmed_at is None or confirmed_at >= sent_at or ref in running:
                 continue
@@ -129,14 +129,14 @@
             if ref not in ended:
                 # The run never existed, so the worker will not list an end for it.
                 self.record_rejection(ref, reason)
-                has_news = True
-        return has_news
+                is_report_due = True
+        return is_report_due
 
     def _resolve_refusals(self, reply: PollReply, sent_at: timedelta) -> bool:
         """Reject the refused starts whose runs do not exist; return whether any was."""
         present = {status.ref for status in reply.running}
         present.update(end.ref for end in reply.ends)
-        has_news = False
+        is_report_due = False
         for ref, start in list(self.refused_by_ref.items()):
             is_resolved = start.refused_at < sent_at and (
                 reply.is_complete or ref in present
@@ -146,5 +146,5 @@
             del self.refused_by_ref[ref]
             if ref not in present:
                 self.record_rejection(ref, start.reason)
-                has_news = True
-        return has_news
+                is_report_due = True
+        return is_report_due
--- a/coltsfoottray/worker/attendant.py
+++ b/coltsfoottray/worker/attendant.py
@@ -207,7 +207,7 @@
     def _check_admission(
         self, incarnation: Incarnation, task: TaskId, attempt: int
     ) -> Verdict | None:
-        """Return why the attempt is not admitted, None if it may be."""
+        """Return why the attempt is not admitted, None if it is."""
         if incarnation != self._incarnation:
             return Verdict.WRONG_LIFE
         if not self._is_ready or not self._lease.is_valid:
@@ -309,7 +309,7 @@
         )
 
     async def _take_checkpoints(self) -> None:
-        """Take a checkpoint of attempts whose last one is an interval old.
+        """Take checkpoints of attempts whose last checkpoint is an interval old.
 
         The name contains the attempt, so a worker that resumes after a pause does not
         overwrite the checkpoint of a later attempt.
