--- a/coltsfoottray/scheduler/advice_requests.py
+++ b/coltsfoottray/scheduler/advice_requests.py
@@ -81,7 +81,7 @@
     def _lives(self, step: LiveStep, now: timedelta, *, is_fair: bool) -> list[str]:
         """Return the lives to ask about: those that are not known to be refused."""
         refused = step.inquiry.refused_by_life
-        candidates = self._planner.candidates(step, now)
+        candidates = self._planner.candidate_lives(step, now)
         # Asked about again at once, a step that nobody may run takes every question,
         # and one that the last of many workers may run is never asked about that one.
         unknown = [life for life in candidates if life not in refused]
--- a/coltsfoottray/scheduler/planner.py
+++ b/coltsfoottray/scheduler/planner.py
@@ -1,4 +1,4 @@
-"""What the scheduler decides in a round: starts, moves, evacuations."""
+"""Planning of a scheduling round: starts, moves and evacuations."""
 
 from __future__ import annotations
 
@@ -26,61 +26,61 @@
 
 __all__ = ["Planner"]
 
-# From here on its percentage tells better than the estimate when a task will end.
-_TELLING_PERCENT = 10.0
+# From this progress on, extrapolation predicts a task's end better than its estimate.
+_MIN_PREDICTIVE_PERCENT = 10.0
 
-# What is likely to end only just in time is taken for late.
-_LATENESS = 1.2
+# A run predicted to end only just before its worker leaves counts as too late.
+_SAFETY_FACTOR = 1.2
 
-# Two moves a second are far more than crawling tasks come up.
+# Two moves per second are far more than the rate at which fillers become slow.
 _REBALANCE_PERIOD = timedelta(milliseconds=500)
 
-# A service that moves is back within a second.
+# A moved service is running again within a second.
 _PACKING_PERIOD = timedelta(seconds=1)
 
-# A run is left alone for so long: what its image does is learned in two looks.
-_SETTLING = timedelta(seconds=1.5)
+# Younger runs are not moved: learning an image's pressure takes two polls.
+_SETTLING_TIME = timedelta(seconds=1.5)
 
-# Without a checkpoint a move throws the work away: beyond this it costs too much.
-_MOVABLE_PERCENT = 15.0
+# A move without a checkpoint discards the work; beyond this progress it costs too much.
+_MAX_MOVABLE_PERCENT = 15.0
 
-# The users take a job for lost of which nothing runs for 3 s; a start takes up to half
-# a second on a day on which the table is slow.
+# Users consider a job lost when nothing of it runs for 3 s; a start takes up to half a
+# second while the table is slow.
 _MAX_IDLE = timedelta(seconds=1)
 
-# So many steps in urgency order, and as many of the others, may look at the workers in
-# vain; it bounds a round's length when thousands wait.
+# Steps per pass that may examine the workers without success. There is a pass in order
+# of urgency and one over the rest; this bounds a round when thousands of steps wait.
 _MAX_MISSES = 60
 
 
 class Planner:
-    """Decides from a board, and changes it accordingly."""
+    """Decide from the cluster state, and apply the decisions to it."""
 
     def __init__(self, *, cluster: ClusterState, holder: ConfigHolder) -> None:
-        self._board = cluster
+        self._cluster = cluster
         self._fleet = cluster.fleet
         self._holder = holder
-        self._rebalanced = timedelta(0)
-        self._packed = timedelta(0)
+        self._last_rebalance = timedelta(0)
+        self._last_packing = timedelta(0)
         self._round = 0
-        # The steps whose turn has come, the most urgent first, as of the last plan.
+        # The steps that could start at the last plan, the most urgent first.
         self._ready: list[LiveStep] = []
 
     def plan(self, now: timedelta, now_ms: int) -> list[PlacedRun]:
         """Assign waiting tasks to workers; return the new runs."""
         self._round += 1
         self._ready = self._list_ready(now, now_ms)
-        openings = FreeCapacityBounds(fleet=self._fleet, now=now)
-        placed, left = self._place_steps(self._ready, openings, now, now_ms)
-        # Some dozens of steps that fit nowhere keep all behind them waiting for ever,
-        # so of those not come to the ones go first whose last try is longest ago.
-        left.sort(key=lambda step: step.tried)
-        more, _ = self._place_steps(left, openings, now, now_ms)
+        bounds = FreeCapacityBounds(fleet=self._fleet, now=now)
+        placed, untried = self._place_steps(self._ready, bounds, now, now_ms)
+        # A few dozen steps that fit nowhere would starve all steps behind them, so the
+        # second pass begins with the steps whose last try is longest ago.
+        untried.sort(key=lambda step: step.tried)
+        more, _ = self._place_steps(untried, bounds, now, now_ms)
         return placed + more
 
     def _list_ready(self, now: timedelta, now_ms: int) -> list[LiveStep]:
         ready: list[LiveStep] = []
-        for job in self._board.active_by_id.values():
+        for job in self._cluster.active_by_id.values():
             job.open_occurrences(now_ms)
             ready += [step for step in job.steps() if step.can_start]
         for step in ready:
@@ -91,41 +91,41 @@
     def _place_steps(
         self,
         steps: list[LiveStep],
-        openings: FreeCapacityBounds,
+        bounds: FreeCapacityBounds,
         now: timedelta,
         now_ms: int,
     ) -> tuple[list[PlacedRun], list[LiveStep]]:
-        """Place steps in turn; return the runs, and the steps not come to."""
+        """Place steps in order; return the new runs and the steps not reached."""
         placed: list[PlacedRun] = []
         misses = 0
         for number, step in enumerate(steps):
             if misses > _MAX_MISSES:
                 return placed, steps[number:]
-            # Counted as misses, these would end the turn, and less urgent steps get
-            # room before others that fit. They cost no look at each worker.
-            if self._has_no_place(step, openings, now):
+            # Not a miss, as no worker is examined: counting these would end the pass
+            # early, and less urgent steps would get room before others that fit.
+            if self._has_no_place(step, bounds, now):
                 record_wait_reason(step, WaitReason.ROOM)
                 continue
             new = self._place_step(step, now, now_ms)
-            record_wait_reason(step, self._hindrance(step, now))
+            record_wait_reason(step, self._wait_reason(step, now))
             step.tried = self._round
             placed += new
             misses += not new
         return placed, []
 
     def _has_no_place(
-        self, step: LiveStep, openings: FreeCapacityBounds, now: timedelta
+        self, step: LiveStep, bounds: FreeCapacityBounds, now: timedelta
     ) -> bool:
-        """Whether it is soon told that no worker can take a task of a step."""
+        """Return whether the bounds alone show that no worker has room for a task."""
         if step.spec.is_filler:
-            self._note_idle(step.job, now)
-        return not openings.may_fit(
-            step.spec, service=self._board.terms_of(step.job).service
+            self._update_idle_since(step.job, now)
+        return not bounds.may_fit(
+            step.spec, service=self._cluster.terms_of(step.job).service
         )
 
-    def _hindrance(self, step: LiveStep, now: timedelta) -> WaitReason:
-        """Return what tasks of a step lack that wait though there may be room."""
-        allowed = self._allowed(step, now)
+    def _wait_reason(self, step: LiveStep, now: timedelta) -> WaitReason:
+        """Return why tasks of a step wait although some worker may have room."""
+        allowed = self._allowed_lives(step, now)
         if allowed is not None and not allowed:
             return WaitReason.TICKET
         return WaitReason.GOOD_PLACE if step.spec.is_filler else WaitReason.ROOM
@@ -133,30 +133,30 @@
     def _place_step(
         self, step: LiveStep, now: timedelta, now_ms: int
     ) -> list[PlacedRun]:
-        service = self._board.terms_of(step.job).service
+        service = self._cluster.terms_of(step.job).service
         placed: list[PlacedRun] = []
         if step.spec.is_gang:
             gang = choose_gang(
                 step,
                 self._fleet,
-                self._board.pressures,
+                self._cluster.pressures,
                 service=service,
                 now=now,
-                allowed=self._allowed(step, now),
+                allowed=self._allowed_lives(step, now),
             )
             workers = gang or []
             refs = [step.next_run(index) for index in step.waiting]
             for ref, member in zip(refs, workers, strict=False):
                 placed.append(self._assign(step, ref, member, now))
         else:
-            patience = self._patience(step.job, now, now_ms)
+            strictness = self._strictness(step.job, now, now_ms)
             for index in step.waiting:
-                worker = self._find_place(step, now, index, patience=patience)
+                worker = self._find_place(step, now, index, strictness=strictness)
                 if worker is None:
                     break
-                if patience is Strictness.NONE:
-                    # For the others something of the job runs now.
-                    patience = Strictness.HALF
+                if strictness is Strictness.NONE:
+                    # The job is no longer idle, so its other tasks can wait.
+                    strictness = Strictness.HALF
                 step.job.idle_since = None
                 placed.append(self._assign(step, step.next_run(index), worker, now))
         if placed:
@@ -191,19 +191,19 @@
         return placed
 
     def rebalance(self, now: timedelta) -> None:
-        """Move fillers that crawl to where they would work at full speed."""
-        if now - self._rebalanced < _REBALANCE_PERIOD:
+        """Move a slow filler to a worker on which it would run at full speed."""
+        if now - self._last_rebalance < _REBALANCE_PERIOD:
             return
-        self._rebalanced = now
-        crawling = [
-            placed for placed in self._fleet.placed_runs() if _may_move(placed, now)
+        self._last_rebalance = now
+        movable = [
+            placed for placed in self._fleet.placed_runs() if _is_movable(placed, now)
         ]
-        for placed in crawling:
+        for placed in movable:
             place = find_faster(
                 placed,
                 self._fleet,
-                self._board.pressures,
-                service=self._board.terms_of(placed.step.job).service,
+                self._cluster.pressures,
+                service=self._cluster.terms_of(placed.step.job).service,
                 now=now,
             )
             if place is None:
@@ -216,14 +216,14 @@
                 percent=placed.percent,
             )
             self._stop_to_move(placed)
-            # One at a time: the place found may be full with it.
+            # One move at a time: the place found may be full after it.
             return
 
     def pack_services(self, now: timedelta) -> None:
-        """Move services together while fillers wait for a place without any."""
-        if now - self._packed < _PACKING_PERIOD:
+        """Consolidate services while fillers wait for a worker without services."""
+        if now - self._last_packing < _PACKING_PERIOD:
             return
-        self._packed = now
+        self._last_packing = now
         if not any(step.spec.is_filler and step.waiting for step in self._ready):
             return
         services = {worker.service for worker in self._fleet.worker_by_id.values()}
@@ -244,9 +244,9 @@
         self._stop_to_move(placed)
 
     def _has_place_elsewhere(self, placed: PlacedRun, now: timedelta) -> bool:
-        """Whether a run would start anew beside services on another worker.
+        """Return whether a run could restart beside services on another worker.
 
-        With tickets, few workers may run its step: once stopped it would wait for one.
+        Few workers may run a step that needs tickets: a stopped run would wait for one.
         """
         place = self._choose_worker(placed.step, now, {placed.worker}, Strictness.WHOLE)
         return (
@@ -257,16 +257,16 @@
 
     @staticmethod
     def _stop_to_move(placed: PlacedRun) -> None:
-        """Stop a run, to start it anew on another worker."""
+        """Stop a run so that it restarts on another worker."""
         placed.is_stopping = True
         avoided = placed.step.avoid_by_index.setdefault(placed.ref.task.index, set())
         avoided.add(placed.worker)
 
     def evacuate(self, now: timedelta) -> None:
-        """Stop what would not end in time on workers that leave.
+        """Stop the runs that would not end before their draining worker leaves.
 
-        What is stopped in time goes on elsewhere, from its checkpoint if it has
-        one; what is still there when the worker leaves is lost without one.
+        A run stopped in time continues elsewhere, from its checkpoint if it has one;
+        a run that is still there when the worker leaves is lost without a checkpoint.
         """
         for worker in self._fleet.worker_by_id.values():
             if not worker.is_draining or not worker.is_reachable:
@@ -292,32 +292,32 @@
         now: timedelta,
         index: int | None = None,
         *,
-        patience: Strictness = Strictness.WHOLE,
+        strictness: Strictness = Strictness.WHOLE,
     ) -> Worker | None:
         avoid = set() if index is None else step.avoid_by_index.get(index, set())
-        return self._choose_worker(step, now, avoid, patience)
+        return self._choose_worker(step, now, avoid, strictness)
 
     def _choose_worker(
-        self, step: LiveStep, now: timedelta, avoid: set[str], patience: Strictness
+        self, step: LiveStep, now: timedelta, avoid: set[str], strictness: Strictness
     ) -> Worker | None:
         return choose_worker(
             step,
             self._fleet,
-            self._board.pressures,
-            service=self._board.terms_of(step.job).service,
+            self._cluster.pressures,
+            service=self._cluster.terms_of(step.job).service,
             now=now,
             avoid=avoid,
-            allowed=self._allowed(step, now),
-            patience=patience,
+            allowed=self._allowed_lives(step, now),
+            strictness=strictness,
         )
 
-    def _patience(self, job: LiveJob, now: timedelta, now_ms: int) -> Strictness:
-        """Return how good a place a job's tasks can wait for.
+    def _strictness(self, job: LiveJob, now: timedelta, now_ms: int) -> Strictness:
+        """Return how good a place must be for tasks of a job.
 
-        A job of which nothing runs while workers have room is lost to its caller,
-        however good the reason to wait: after a while any place will do.
+        A job that runs nothing while workers have room is lost to its caller, whatever
+        it waits for, so any place is good enough once it has been idle for a while.
         """
-        self._note_idle(job, now)
+        self._update_idle_since(job, now)
         if job.idle_since is not None and now - job.idle_since > _MAX_IDLE:
             return Strictness.NONE
         if is_half_elapsed(job, self._holder, now_ms):
@@ -325,31 +325,31 @@
         return Strictness.WHOLE
 
     @staticmethod
-    def _note_idle(job: LiveJob, now: timedelta) -> None:
+    def _update_idle_since(job: LiveJob, now: timedelta) -> None:
         if not job.is_idle:
             job.idle_since = None
         elif job.idle_since is None:
             job.idle_since = now
 
-    def _allowed(self, step: LiveStep, now: timedelta) -> set[str] | None:
-        """Return the lives that may run a step, none if all may."""
-        if self._board.terms_of(step.job).advice is None:
+    def _allowed_lives(self, step: LiveStep, now: timedelta) -> set[str] | None:
+        """Return the worker incarnations that may run a step, None if all may."""
+        if self._cluster.terms_of(step.job).advice is None:
             return None
         return step.valid_lives(now)
 
     def waiting_for_tickets(self, now: timedelta) -> list[LiveStep]:
         """Return the steps that wait for advice, the most urgent first.
 
-        A step that no worker has room for is none of them: as the most urgent one it
-        kept all questions to itself, and there is nobody to ask about.
+        Steps that no worker has room for are left out: there is no worker to ask about,
+        and the most urgent of them would take all requests.
         """
-        openings = FreeCapacityBounds(fleet=self._fleet, now=now)
+        bounds = FreeCapacityBounds(fleet=self._fleet, now=now)
         waiting: list[LiveStep] = []
         for step in self._ready:
-            terms = self._board.terms_of(step.job)
+            terms = self._cluster.terms_of(step.job)
             if (
                 terms.advice is not None
-                and openings.may_fit(step.spec, service=terms.service)
+                and bounds.may_fit(step.spec, service=terms.service)
                 and not step.valid_lives(now)
                 and step.can_start
             ):
@@ -357,16 +357,16 @@
         return waiting
 
     def terms_of(self, step: LiveStep) -> QueueTerms:
-        """Return the terms under which a step runs now."""
-        return self._board.terms_of(step.job)
+        """Return the queue terms that apply to a step now."""
+        return self._cluster.terms_of(step.job)
 
-    def candidates(self, step: LiveStep, now: timedelta) -> list[str]:
-        """Return the lives of the workers that a step would go to, best first."""
+    def candidate_lives(self, step: LiveStep, now: timedelta) -> list[str]:
+        """Return the incarnations of the workers that suit a step, the best first."""
         workers = list_candidates(
             step,
             self._fleet,
-            self._board.pressures,
-            service=self._board.terms_of(step.job).service,
+            self._cluster.pressures,
+            service=self._cluster.terms_of(step.job).service,
             now=now,
         )
         return [worker.life for worker in workers]
@@ -376,21 +376,21 @@
     spec = placed.step.spec
     if spec.is_service:
         return False
-    worked = now - placed.placed_at
-    if placed.percent >= _TELLING_PERCENT:
-        left = worked * (100.0 / placed.percent - 1.0)
+    elapsed = now - placed.placed_at
+    if placed.percent >= _MIN_PREDICTIVE_PERCENT:
+        remaining = elapsed * (100.0 / placed.percent - 1.0)
     else:
-        left = timedelta(milliseconds=spec.estimate_ms) - worked
-    return now + left * _LATENESS < worker.leaves_at
+        remaining = timedelta(milliseconds=spec.estimate_ms) - elapsed
+    return now + remaining * _SAFETY_FACTOR < worker.leaves_at
 
 
-def _may_move(placed: PlacedRun, now: timedelta) -> bool:
+def _is_movable(placed: PlacedRun, now: timedelta) -> bool:
     spec = placed.step.spec
     return (
         spec.is_filler
         and not spec.is_gang
         and placed.is_released
         and not placed.is_stopping
-        and now - placed.placed_at > _SETTLING
-        and (spec.has_checkpoints or placed.percent < _MOVABLE_PERCENT)
+        and now - placed.placed_at > _SETTLING_TIME
+        and (spec.has_checkpoints or placed.percent < _MAX_MOVABLE_PERCENT)
     )
--- a/coltsfoottray/scheduler/worker_selection.py
+++ b/coltsfoottray/scheduler/worker_selection.py
@@ -131,7 +131,7 @@
     now: timedelta,
     avoid: Collection[str] = (),
     allowed: Collection[str] | None = None,
-    patience: Strictness = Strictness.WHOLE,
+    strictness: Strictness = Strictness.WHOLE,
 ) -> Worker | None:
     """Return the best worker for one task of `step`, none if none is fit.
 
@@ -157,8 +157,8 @@
             worker
             for worker in fit
             # A worker that fails all it starts is empty, and so the fastest place.
-            if (patience is Strictness.NONE or worker.id not in avoid)
-            and _is_good(forecast_filler(worker, step.spec, pressures), patience)
+            if (strictness is Strictness.NONE or worker.id not in avoid)
+            and _is_good(forecast_filler(worker, step.spec, pressures), strictness)
         ]
     return min(
         fit,
@@ -167,13 +167,13 @@
     )
 
 
-def _is_good(outlook: Forecast, patience: Strictness) -> bool:
+def _is_good(outlook: Forecast, strictness: Strictness) -> bool:
     """Whether a place is as good as a filler can wait for."""
-    least = _LEAST_SPEEDS_BY_PATIENCE[patience]
+    least = _LEAST_SPEEDS_BY_PATIENCE[strictness]
     return (
         outlook.alone >= least.alone
         and outlook.beside >= least.beside
-        and (patience is Strictness.NONE or outlook.is_safe)
+        and (strictness is Strictness.NONE or outlook.is_safe)
     )
 
 
