--- a/coltsfoottray/scheduler/interference.py
+++ b/coltsfoottray/scheduler/interference.py
@@ -1,7 +1,7 @@
-"""What fillers take of the margins of the services beside them, and so how fast.
+"""Prediction of interference between fillers and services on a worker.
 
-A filler is slowed by its worker's attendant to what leaves each service a margin; here
-it is foreseen, to choose the worker.
+A worker's attendant slows fillers down so that each service keeps a latency margin. The
+scheduler predicts the resulting speed of a filler to choose a worker for it.
 """
 
 from __future__ import annotations
@@ -19,28 +19,28 @@
 
 __all__ = ["Forecast", "forecast_filler", "speed_beside"]
 
-# Taken for the margin of a service until its attendant has told it.
+# Assumed for a service until its attendant has reported its margin.
 _UNKNOWN_MARGIN = ServiceMargin(now=1.9, usual=2.4, least=1.5)
 
-# What light fillers leave to services at the peaks of their load: less is within the
-# noise of their target.
+# The margin that light fillers must leave to services at the peaks of their load; less
+# cannot be told from the noise of the latency around its target.
 _PEAK_MARGIN = 1.1
 
-# The margin that services must have left when a filler starts, which works at full
-# speed for some 150 ms before it can be slowed.
+# The margin that services must keep while a filler starts: it runs at full speed for
+# some 150 ms before it can be slowed down.
 _START_MARGIN = 1.0
-# How many standard deviations more than is thought of it a filler may press then. An
-# image nobody knows is so let in only beside services that could bear a heavy one.
+# Standard deviations added to the estimated pressure of a filler that starts. A filler
+# of an unknown image thus starts only beside services that could bear a heavy one.
 _START_CAUTION = 1.5
 
 
 def speed_beside(worker: Worker, spec: StepSpec, pressures: PressureTable) -> float:
-    """Return how fast a filler that is on `worker` can work beside the others."""
+    """Return the fraction of its full speed that a filler on `worker` can reach."""
     return min(
         (
-            strain.speed(0.0)
-            for strain in _strains(worker, spec, pressures)
-            if not strain.is_light
+            each.speed(0.0)
+            for each in _list_interference(worker, spec, pressures)
+            if not each.is_light
         ),
         default=1.0,
     )
@@ -48,68 +48,71 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Forecast:
-    """What is foreseen of one more filler on a worker.
+    """Predicted effects of placing one more filler on a worker.
 
     Parameters
     ----------
-    alone : float
-        How fast it could work by the processors that are left, 1 for full speed.
-    beside : float
-        How fast it could work for the sake of the services there.
+    cpu_limited : float
+        Speed that the idle processors allow, 1 for full speed.
+    service_limited : float
+        Speed that the margins of the services allow, 1 for full speed.
     is_safe : bool
-        Whether the services can bear its start, whatever it may turn out to be.
+        Whether the services keep their target during its start, even if its pressure
+        turns out to be much higher than estimated.
     is_harmless : bool
-        Whether it is known to press so little that they bear it at all times.
+        Whether its known pressure is so low that they keep it even at peak load.
     """
 
-    alone: float
-    beside: float
+    cpu_limited: float
+    service_limited: float
     is_safe: bool
     is_harmless: bool
 
     @property
     def speed(self) -> float:
-        """How fast it could work."""
-        return min(self.alone, self.beside)
+        """Speed at which the filler could run, 1 for full speed."""
+        return min(self.cpu_limited, self.service_limited)
 
 
 def forecast_filler(
     worker: Worker, spec: StepSpec, pressures: PressureTable
 ) -> Forecast:
-    """Return what a filler would meet on `worker`."""
+    """Return the forecast for one more filler on `worker`."""
     wanted = max(spec.demand.processors, 1e-9)
-    strains = _strains(worker, spec, pressures)
+    interference = _list_interference(worker, spec, pressures)
     return Forecast(
-        alone=min(1.0, max(worker.idle_processors, 0.0) / wanted),
-        beside=min((strain.speed(strain.own) for strain in strains), default=1.0),
+        cpu_limited=min(1.0, max(worker.idle_processors, 0.0) / wanted),
+        service_limited=min(
+            (each.speed(each.added) for each in interference), default=1.0
+        ),
         is_safe=all(
-            strain.margin.now - strain.worst >= _START_MARGIN for strain in strains
+            each.margin.now - each.worst >= _START_MARGIN for each in interference
         ),
         is_harmless=all(
-            strain.is_light
-            and strain.margin.least - strain.light - strain.own >= _PEAK_MARGIN
-            for strain in strains
+            each.is_light
+            and each.margin.least - each.light - each.added >= _PEAK_MARGIN
+            for each in interference
         ),
     )
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Strain:
-    """What fillers take of the margin of services of one image.
+class _Interference:
+    """How far fillers on a worker reduce the margin of services of one image.
 
     Parameters
     ----------
-    own : float
-        What one more of the filler asked for would take.
+    added : float
+        Reduction by one more filler of the image in question.
     is_light : bool
-        Whether that is too little to be slowed for.
+        Whether that image's pressure is too low for its fillers to be slowed down.
     light, heavy : float
-        What fillers that are there take at full speed.
+        Reductions by the light and heavy fillers already there, at full speed.
     worst : float
-        What all of them may take, the one asked for among them.
+        Upper estimate of the reduction by all fillers, the additional one included.
     """
 
-    own: float
+    added: float
     is_light: bool
     light: float
     heavy: float
@@ -117,22 +120,25 @@
     margin: ServiceMargin
 
     def speed(self, more: float) -> float:
-        """Return how fast a filler works if `more` is taken than now."""
+        """Return a filler's speed if the margin is reduced by `more` in addition."""
         spare = max(self.margin.usual - KEPT_MARGIN - self.light, 0.0)
         wanted = more if self.is_light else self.heavy + more
         return 1.0 if wanted <= spare else spare / wanted
 
 
-def _strains(worker: Worker, spec: StepSpec, pressures: PressureTable) -> list[_Strain]:
-    """Return the strain on the services of `worker`, by image."""
+def _list_interference(
+    worker: Worker, spec: StepSpec, pressures: PressureTable
+) -> list[_Interference]:
+    """Return the interference on `worker` for each image of a service there."""
     return [
-        _strain(worker, spec, pressures, service) for service in worker.service_images
+        _interference_with(worker, spec, pressures, service)
+        for service in worker.service_images
     ]
 
 
-def _strain(
+def _interference_with(
     worker: Worker, spec: StepSpec, pressures: PressureTable, service: str
-) -> _Strain:
+) -> _Interference:
     light = heavy = worst = 0.0
     for image, share in worker.filler_share_by_image.items():
         pressure = pressures.get(image, service)
@@ -144,10 +150,10 @@
     pressure = pressures.get(spec.image, service)
     share = worker.share_of(spec.demand.processors)
     margin = worker.margin_by_image.get(service, _UNKNOWN_MARGIN)
-    # Heavy ones are slowed to what leaves the kept margin.
+    # The attendant slows heavy fillers down until the safety margin is left.
     worst = min(worst, max(margin.now - KEPT_MARGIN, light))
-    return _Strain(
-        own=pressure.value * share,
+    return _Interference(
+        added=pressure.value * share,
         is_light=pressure.value < LIGHT_PRESSURE,
         light=light,
         heavy=heavy,
--- a/coltsfoottray/scheduler/worker_selection.py
+++ b/coltsfoottray/scheduler/worker_selection.py
@@ -1,18 +1,18 @@
-"""Where a task goes.
-
-A worker is fit if it is known to live, takes new work and has room for all that
-the task declares. Of those that are fit the task goes to the one where it is
-likely to end soonest and to disturb least:
-
-- services with a latency target go to workers that have some, those of one image
-  together where there is a choice; a worker without any is taken only by what fills
-  half of it. Fillers that press on services then find whole workers without any, and
-  others with few images;
-- fillers go where they can work fastest, given the processors that are left and
-  how strongly their image presses on the services there; where they could only
-  crawl, they wait. Of places as fast those beside services that they do no harm go
-  first: workers without services are left to fillers that press harder;
-- all others go where most is left.
+"""Selection of a worker for a task.
+
+Workers are filtered first: a candidate is known to be alive, accepts new tasks and has
+room for what the task reserves. The task goes to the candidate on which it is likely
+to end soonest and to cause the least interference:
+
+- Services with a latency target go to workers that run such services already, if
+  possible those of the same image. Only a step that fills half of a worker opens one
+  without services. Fillers that exert pressure on services thus find some workers
+  without services, and others with few images.
+- Fillers go where they can run fastest, given the idle processors and the pressure of
+  their image on the services there. Where they could only run slowly, they wait.
+  Between equally fast places they prefer workers with services that they do not harm,
+  which leaves workers without services to fillers with a higher pressure.
+- All other tasks go to the worker with the lowest processor load.
 """
 
 from __future__ import annotations
@@ -40,47 +40,47 @@
     "list_candidates",
 ]
 
-# A worker that has not reported for so long takes nothing new: two reports of one
+# A worker whose last report is older gets no new tasks: two report intervals of one
 # second each, and half of one.
 _SILENCE = timedelta(seconds=2.5)
 
 
 class Strictness(enum.Enum):
-    """How good a place a filler can wait for."""
+    """How good a place must be for a filler to be placed there."""
 
     WHOLE = "whole"
     HALF = "half"
-    """Half of its job's time is over."""
+    """Half of the time in which its job is on time has elapsed."""
     NONE = "none"
-    """Nothing of its job runs, and it has waited long enough."""
+    """Its job has been idle for too long, so any place is accepted."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class _MinSpeeds:
-    """Parts of its full speed that a filler must be able to work at.
+    """Minimum speeds of a filler on a worker, as fractions of its full speed.
 
     Parameters
     ----------
-    alone : float
-        By the processors that are left.
-    beside : float
-        For the sake of the services there.
+    cpu_limited : float
+        Minimum of the speed that the idle processors allow.
+    service_limited : float
+        Minimum of the speed that the margins of the services allow.
     """
 
-    alone: float
-    beside: float
+    cpu_limited: float
+    service_limited: float
 
 
-_LEAST_SPEEDS_BY_PATIENCE = {
-    Strictness.WHOLE: _MinSpeeds(alone=0.45, beside=0.8),
-    Strictness.HALF: _MinSpeeds(alone=0.45, beside=0.4),
-    Strictness.NONE: _MinSpeeds(alone=0.0, beside=0.0),
+_MIN_SPEEDS_BY_STRICTNESS = {
+    Strictness.WHOLE: _MinSpeeds(cpu_limited=0.45, service_limited=0.8),
+    Strictness.HALF: _MinSpeeds(cpu_limited=0.45, service_limited=0.4),
+    Strictness.NONE: _MinSpeeds(cpu_limited=0.0, service_limited=0.0),
 }
 
-# One that works slower than the first is moved to where it would work faster than the
-# second: a move costs up to a second of work and a quarter for the start.
-_CRAWL = 0.3
-_FAST = 0.8
+# A filler slower than the first is moved to a worker on which it would be faster than
+# the second: a move costs up to a second of work and a quarter of a second to start.
+_SLOW_SPEED = 0.3
+_FAST_SPEED = 0.8
 
 _HALF = 0.5
 
@@ -88,30 +88,30 @@
 
 
 class FreeCapacityBounds:
-    """The most room that any worker has for new work, by service and label.
+    """Upper bounds of the free capacity of any worker, by service and label.
 
-    A task that needs more has no place anywhere; that is told without a look at each
-    worker. It holds for one round, in which room only shrinks.
+    A task that needs more fits on no worker, which saves examining each of them. The
+    bounds are valid for one round, during which free capacity only shrinks.
     """
 
     def __init__(self, *, fleet: Fleet, now: timedelta) -> None:
         self._fleet = fleet
         self._now = now
-        self._most_by_pool: dict[tuple[str, str], Resources | None] = {}
+        self._max_free_by_pool: dict[tuple[str, str], Resources | None] = {}
 
     def may_fit(self, spec: StepSpec, *, service: str) -> bool:
-        """Whether some worker may have room for a task of a step."""
+        """Return whether some worker may have room for a task of a step."""
         pool = service, spec.label
-        if pool not in self._most_by_pool:
-            self._most_by_pool[pool] = self._most(*pool)
-        most = self._most_by_pool[pool]
-        return most is not None and spec.reserved.fits_in(most)
+        if pool not in self._max_free_by_pool:
+            self._max_free_by_pool[pool] = self._max_free(*pool)
+        max_free = self._max_free_by_pool[pool]
+        return max_free is not None and spec.reserved.fits_in(max_free)
 
-    def _most(self, service: str, label: str) -> Resources | None:
+    def _max_free(self, service: str, label: str) -> Resources | None:
         rooms = [
             worker.room
             for worker in self._fleet.worker_by_id.values()
-            if is_schedulable(worker, service, self._now) and _carries(worker, label)
+            if is_schedulable(worker, service, self._now) and _has_label(worker, label)
         ]
         if not rooms:
             return None
@@ -133,19 +133,19 @@
     allowed: Collection[str] | None = None,
     strictness: Strictness = Strictness.WHOLE,
 ) -> Worker | None:
-    """Return the best worker for one task of `step`, none if none is fit.
+    """Return the best worker for one task of `step`, None if there is no candidate.
 
     Parameters
     ----------
     avoid : collection of str
-        Workers that are taken only if there is no other.
+        Ids of workers that are chosen only if there is no other.
     allowed : collection of str, optional
-        The lives of workers that may run the step, if not all may.
-    patience : Patience
-        How good a place the task can wait for.
+        Incarnations of workers that may run the step; None if all may.
+    strictness : Strictness
+        How good a place must be if the task is a filler.
     """
     cost = _cost_of(step, pressures)
-    fit = [
+    candidates = [
         worker
         for worker in fleet.worker_by_id.values()
         if is_schedulable(worker, service, now)
@@ -153,27 +153,29 @@
         and can_host(worker, step, room=worker.room, extra=0)
     ]
     if step.spec.is_filler:
-        fit = [
+        candidates = [
             worker
-            for worker in fit
-            # A worker that fails all it starts is empty, and so the fastest place.
+            for worker in candidates
+            # A worker that fails every task is empty, so it looks like the fastest.
             if (strictness is Strictness.NONE or worker.id not in avoid)
-            and _is_good(forecast_filler(worker, step.spec, pressures), strictness)
+            and _is_acceptable(
+                forecast_filler(worker, step.spec, pressures), strictness
+            )
         ]
     return min(
-        fit,
+        candidates,
         key=lambda worker: (worker.id in avoid, cost(worker), worker.id),
         default=None,
     )
 
 
-def _is_good(outlook: Forecast, strictness: Strictness) -> bool:
-    """Whether a place is as good as a filler can wait for."""
-    least = _LEAST_SPEEDS_BY_PATIENCE[strictness]
+def _is_acceptable(forecast: Forecast, strictness: Strictness) -> bool:
+    """Return whether a place is good enough for a filler."""
+    minimum = _MIN_SPEEDS_BY_STRICTNESS[strictness]
     return (
-        outlook.alone >= least.alone
-        and outlook.beside >= least.beside
-        and (strictness is Strictness.NONE or outlook.is_safe)
+        forecast.cpu_limited >= minimum.cpu_limited
+        and forecast.service_limited >= minimum.service_limited
+        and (strictness is Strictness.NONE or forecast.is_safe)
     )
 
 
@@ -186,7 +188,7 @@
     now: timedelta,
     allowed: Collection[str] | None = None,
 ) -> list[Worker] | None:
-    """Return a worker for each task of a gang, none unless all have room."""
+    """Return a worker for each task of a gang, None unless there is room for all."""
     cost = _cost_of(step, pressures)
     workers = [
         worker
@@ -196,10 +198,10 @@
     ]
     if step.spec.is_one_rack:
         for rack in sorted({worker.rack for worker in workers}):
-            chosen = _spread(step, [w for w in workers if w.rack == rack], cost)
+            chosen = _spread_gang(step, [w for w in workers if w.rack == rack], cost)
             if chosen is not None:
                 return chosen
-    return _spread(step, workers, cost)
+    return _spread_gang(step, workers, cost)
 
 
 def list_candidates(
@@ -210,26 +212,26 @@
     service: str,
     now: timedelta,
 ) -> list[Worker]:
-    """Return the workers that could run a task of `step`, the best first."""
+    """Return the workers with room for a task of `step`, the best first."""
     cost = _cost_of(step, pressures)
-    fit = [
+    candidates = [
         worker
         for worker in fleet.worker_by_id.values()
         if is_schedulable(worker, service, now)
-        and _suits(worker, step.spec, worker.room)
+        and _meets_demand(worker, step.spec, worker.room)
     ]
-    return sorted(fit, key=lambda worker: (cost(worker), worker.id))
+    return sorted(candidates, key=lambda worker: (cost(worker), worker.id))
 
 
-def _spread(
+def _spread_gang(
     step: LiveStep, workers: list[Worker], cost: Callable[[Worker], _Cost]
 ) -> list[Worker] | None:
-    """Spread the whole step over `workers`, as if each task were held."""
+    """Return a worker for each task of a step, counting the tasks already assigned."""
     room_by_id = {worker.id: worker.room for worker in workers}
     count_by_id = dict.fromkeys(room_by_id, 0)
     chosen: list[Worker] = []
     for _ in step.records:
-        fit = [
+        candidates = [
             worker
             for worker in workers
             if can_host(
@@ -239,9 +241,9 @@
                 extra=count_by_id[worker.id],
             )
         ]
-        if not fit:
+        if not candidates:
             return None
-        best = min(fit, key=lambda w: (count_by_id[w.id], cost(w), w.id))
+        best = min(candidates, key=lambda w: (count_by_id[w.id], cost(w), w.id))
         room_by_id[best.id] = room_by_id[best.id] - step.spec.reserved
         count_by_id[best.id] += 1
         chosen.append(best)
@@ -249,7 +251,7 @@
 
 
 def is_schedulable(worker: Worker, service: str, now: timedelta) -> bool:
-    """Whether a worker of a service's pool is known to live and takes new work."""
+    """Return whether a worker is in a service's pool, alive and open to new tasks."""
     return (
         worker.service == service
         and worker.is_reachable
@@ -263,27 +265,29 @@
 
 
 def can_host(worker: Worker, step: LiveStep, *, room: Resources, extra: int) -> bool:
-    """Whether a worker suits one more task of a step.
+    """Return whether a worker can host one more task of a step.
 
     Parameters
     ----------
     room : Resources
-        What is left there.
+        The free capacity to assume for the worker.
     extra : int
-        Tasks of the step that are meant to go there before this one.
+        Number of the step's tasks assigned to the worker but not yet held there.
     """
-    return _suits(worker, step.spec, room) and _keeps_apart(worker, step, extra=extra)
+    return _meets_demand(worker, step.spec, room) and _meets_anti_affinity(
+        worker, step, extra=extra
+    )
 
 
-def _suits(worker: Worker, spec: StepSpec, room: Resources) -> bool:
-    return _carries(worker, spec.label) and spec.reserved.fits_in(room)
+def _meets_demand(worker: Worker, spec: StepSpec, room: Resources) -> bool:
+    return _has_label(worker, spec.label) and spec.reserved.fits_in(room)
 
 
-def _carries(worker: Worker, label: str) -> bool:
+def _has_label(worker: Worker, label: str) -> bool:
     return not label or label in worker.labels
 
 
-def _keeps_apart(worker: Worker, step: LiveStep, *, extra: int) -> bool:
+def _meets_anti_affinity(worker: Worker, step: LiveStep, *, extra: int) -> bool:
     if not step.spec.max_per_worker:
         return True
     siblings = sum(placed.step is step for placed in worker.held_by_ref.values())
@@ -291,24 +295,24 @@
 
 
 def _cost_of(step: LiveStep, pressures: PressureTable) -> Callable[[Worker], _Cost]:
-    """Return the cost of a worker for a task of `step`; the least is best."""
+    """Return the cost function of workers for a task of `step`; the lowest is best."""
     spec = step.spec
 
     def cost(worker: Worker) -> _Cost:
         is_far = float(bool(spec.data_rack) and spec.data_rack not in worker.labels)
         if spec.target_latency_ms:
             others = [image for image in worker.service_images if image != spec.image]
-            left = worker.room.processors / max(worker.capacity.processors, 1e-9)
-            opens = not worker.service_images and not _fills_half(worker, step)
-            return is_far, float(opens), float(len(others)), left
+            free_share = worker.room.processors / max(worker.capacity.processors, 1e-9)
+            opens_worker = not worker.service_images and not _fills_half(worker, step)
+            return is_far, float(opens_worker), float(len(others)), free_share
         if spec.is_filler:
-            outlook = forecast_filler(worker, spec, pressures)
-            risk = float(not outlook.is_safe)
+            forecast = forecast_filler(worker, spec, pressures)
+            risk = float(not forecast.is_safe)
             return (
                 is_far,
                 risk,
-                -round(outlook.speed, 1),
-                _scarcity(worker, outlook),
+                -round(forecast.speed, 1),
+                _opportunity_cost(worker, forecast),
                 -worker.idle_processors,
             )
         return is_far, worker.busy_processors / max(worker.capacity.processors, 1e-9)
@@ -317,9 +321,9 @@
 
 
 def _fills_half(worker: Worker, step: LiveStep) -> bool:
-    """Whether what waits of a step would take half of a worker by itself.
+    """Return whether the waiting tasks of a step would fill half of a worker.
 
-    Less than that does not merit a worker of its own, which fillers would lose.
+    Fewer tasks do not justify a worker of their own, which fillers would lose.
     """
     count = len(step.waiting)
     if step.spec.max_per_worker:
@@ -327,11 +331,11 @@
     return worker.share_of(count * step.spec.demand.processors) >= _HALF
 
 
-def _scarcity(worker: Worker, outlook: Forecast) -> float:
-    """Return how much a place is to be saved for others; the least is taken first."""
+def _opportunity_cost(worker: Worker, forecast: Forecast) -> float:
+    """Return how much other fillers need a place; the lowest is taken first."""
     if not worker.service_images:
         return 1.0
-    return 0.0 if outlook.is_harmless else 2.0
+    return 0.0 if forecast.is_harmless else 2.0
 
 
 def find_faster(
@@ -342,14 +346,16 @@
     service: str,
     now: timedelta,
 ) -> Worker | None:
-    """Return a worker on which a crawling filler would work at full speed, if any."""
+    """Return a worker on which a slow filler would run much faster, if any."""
     worker = fleet.worker_by_id[placed.worker]
     spec = placed.step.spec
-    if speed_beside(worker, spec, pressures) >= _CRAWL:
+    if speed_beside(worker, spec, pressures) >= _SLOW_SPEED:
         return None
     place = choose_worker(
         placed.step, fleet, pressures, service=service, now=now, avoid=[worker.id]
     )
     if place is None or place is worker:
         return None
-    return place if forecast_filler(place, spec, pressures).speed >= _FAST else None
+    return (
+        place if forecast_filler(place, spec, pressures).speed >= _FAST_SPEED else None
+    )
