--- a/coltsfoottray/scheduler/cluster_state.py
+++ b/coltsfoottray/scheduler/cluster_state.py
@@ -1,4 +1,4 @@
-"""All that the scheduler decides from: jobs, workers, and who runs what."""
+"""The state that the scheduler decides from: jobs, workers and runs."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 __all__ = ["ClusterState"]
 
-# A worker that refused a start as unhealthy or full is left alone for a while:
-# two of its attendant's reports.
-_BLOCK = timedelta(seconds=2)
+# A worker that refused a start as unhealthy or full gets no new tasks for this time:
+# two report intervals of its attendant.
+_BLOCK_TIME = timedelta(seconds=2)
 
 
 class ClusterState:
-    """Jobs, workers and runs; changed by one task only, the scheduler's rounds."""
+    """Jobs, workers and runs, modified only by the task that runs scheduling rounds."""
 
     def __init__(self, *, holder: ConfigHolder, fleet: Fleet) -> None:
         self.job_by_id: dict[JobId, LiveJob] = {}
@@ -34,7 +34,7 @@
         self.lengths = LengthEstimator()
         self._holder = holder
 
-    # What was stored.
+    # Stored and submitted jobs.
 
     def restore(
         self,
@@ -43,7 +43,7 @@
         lease_end: Callable[[str], timedelta],
         now: timedelta,
     ) -> None:
-        """Take in a stored job; its runs may exist until their worker's lease end."""
+        """Add a stored job; its runs may exist until their worker's lease ends."""
         self._add(job)
         for step in job.steps():
             for index, task in enumerate(step.records):
@@ -62,12 +62,12 @@
                 self.fleet.get_or_add(task.worker, None, end).hold(placed)
 
     def accept(self, accepted: AcceptedJob) -> None:
-        """Take in a job that has just been accepted."""
+        """Add a newly accepted job."""
         if accepted.id not in self.job_by_id:
             self._add(LiveJob(accepted=accepted, lengths=self.lengths))
 
     def cancel(self, job_id: JobId, now_ms: int) -> None:
-        """End a job at its caller's wish."""
+        """Cancel a job on its caller's request."""
         job = self.job_by_id.get(job_id)
         if job is None or job.record.state.is_final:
             return
@@ -75,18 +75,18 @@
         self._finish(job, JobState.CANCELLED, now_ms)
 
     def forget(self, job_id: JobId) -> None:
-        """Drop a job that ended long ago."""
+        """Remove a job whose retention has passed."""
         self.job_by_id.pop(job_id, None)
         self.active_by_id.pop(job_id, None)
 
-    # What attendants say.
+    # Reports of attendants.
 
     def apply_report(self, report: Report, now: timedelta, now_ms: int) -> int:
-        """Take in a report; return the last end that need not be told again."""
+        """Apply a report; return the number of the last end to acknowledge."""
         worker = self.fleet.worker_by_id[report.worker]
-        if not self._take_life(worker, report, now, now_ms):
+        if not self._reconcile_life(worker, report, now, now_ms):
             return 0
-        self._describe(worker, report)
+        self._update_description(worker, report)
         ended = [
             (worker.held_by_ref[end.ref], end.kind)
             for end in report.ends
@@ -103,11 +103,11 @@
             if kind is EndKind.DONE:
                 run.record_completion(now)
         for end in report.ends:
-            self._take_end(worker, end.ref, end.kind, end.checkpoint, now_ms)
-        self._note_health(worker, ended, now)
-        self._take_stalls(worker, report.stalled, now)
+            self._apply_end(worker, end.ref, end.kind, end.checkpoint, now_ms)
+        self._update_health(worker, ended, now)
+        self._stop_stalled(worker, report.stalled, now)
         for rejected in report.rejected:
-            self._take_rejection(worker, rejected, now, now_ms)
+            self._apply_rejection(worker, rejected, now, now_ms)
         self.pressures.take(worker.id, report.pressures)
         worker.orphans.clear()
         for status in report.running:
@@ -116,12 +116,12 @@
                 worker.orphans.add(status.ref)
                 continue
             placed.update_status(status.percent, status.figure, now)
-            self._take_checkpoint(placed, status)
+            self._apply_checkpoint(placed, status)
         worker.recompute_usage()
         return max((end.number for end in report.ends), default=0)
 
     @staticmethod
-    def _take_checkpoint(placed: PlacedRun, status: RunStatus) -> None:
+    def _apply_checkpoint(placed: PlacedRun, status: RunStatus) -> None:
         index = status.ref.task.index
         keeper = placed.step.keeper(index)
         if placed.step.records[index].run != status.ref.run:
@@ -131,22 +131,24 @@
             placed.step.job.has_new_checkpoints = True
 
     def expire_leases(self, now: timedelta, now_ms: int) -> None:
-        """Give up the runs of workers whose lease has surely run out."""
+        """Declare lost the runs of workers whose lease has certainly expired."""
         for worker in self.fleet.worker_by_id.values():
             if not worker.held_by_ref or worker.runs_end_by >= now:
                 continue
             silent_s = (now - worker.last_heard).total_seconds()
-            why = f"its lease is over, its attendant silent for {silent_s:.1f} s"
+            why = (
+                f"lease expired; no report from its attendant for {silent_s:.1f} s"
+            )
             held = list(worker.held_by_ref.values())
-            self._lose(worker, held, now_ms, why=why)
+            self._fence_lost_runs(worker, held, now_ms, why=why)
             worker.is_reachable = False
 
-    def _take_life(
+    def _reconcile_life(
         self, worker: Worker, report: Report, now: timedelta, now_ms: int
     ) -> bool:
-        """Settle what became of earlier lives' runs; return whether all is settled."""
-        others = worker.held_by_other_lives(report.life)
-        if others and not self._has_shown_its_runs(worker, report, now):
+        """Reconcile the runs of other incarnations; return False if that must wait."""
+        superseded = worker.held_by_other_lives(report.life)
+        if superseded and not self._has_listed_all_runs(worker, report, now):
             return False
         if report.is_replaced:
             worker.replaced_since = worker.replaced_since or now
@@ -155,17 +157,17 @@
         if report.life and report.life != worker.life:
             worker.acknowledged = 0
             worker.life = report.life
-        self._adopt(worker, others, report, now_ms)
+        self._adopt_runs(worker, superseded, report, now_ms)
         return True
 
     @staticmethod
-    def _has_shown_its_runs(worker: Worker, report: Report, now: timedelta) -> bool:
-        """Whether a new life can have no more runs than it reports.
+    def _has_listed_all_runs(worker: Worker, report: Report, now: timedelta) -> bool:
+        """Return whether a new incarnation cannot have more runs than it reports.
 
-        A worker that starts again under its id takes starts that were meant for the
-        life before, until its attendant has heard of the new one: given up with the
-        old life they ran beside their successors. A look in a later session shows
-        what is there and shuts out the rest.
+        A worker that restarts under its id accepts starts meant for its previous
+        incarnation until its attendant learns of the new one. If these runs were
+        declared lost too early, they would run beside their successors. A poll in a
+        later session lists the runs and fences off all earlier starts.
         """
         if worker.replaced_since is None:
             worker.replaced_since = now
@@ -173,44 +175,44 @@
             return True
         return 0 < worker.session == report.session == report.looked
 
-    def _adopt(
-        self, worker: Worker, others: list[PlacedRun], report: Report, now_ms: int
+    def _adopt_runs(
+        self, worker: Worker, superseded: list[PlacedRun], report: Report, now_ms: int
     ) -> None:
-        """Take over the runs that the new life has; give the others up."""
-        there = {status.ref for status in report.running}
-        there.update(end.ref for end in report.ends)
-        for placed in others:
-            if placed.ref in there:
+        """Keep the runs that the new incarnation has; declare the others lost."""
+        present = {status.ref for status in report.running}
+        present.update(end.ref for end in report.ends)
+        for placed in superseded:
+            if placed.ref in present:
                 placed.life = report.life
                 placed.step.records[placed.ref.task.index].life = report.life
                 placed.step.job.is_dirty = True
-        gone = [placed for placed in others if placed.ref not in there]
-        self._give_up(worker, gone, now_ms, why="it started anew")
+        lost = [placed for placed in superseded if placed.ref not in present]
+        self._mark_lost(worker, lost, now_ms, why="worker restarted")
 
-    def _lose(
-        self, worker: Worker, gone: Sequence[PlacedRun], now_ms: int, *, why: str
+    def _fence_lost_runs(
+        self, worker: Worker, lost: Sequence[PlacedRun], now_ms: int, *, why: str
     ) -> None:
-        """Give runs up; orders for them that are still under way become void."""
+        """Declare runs lost, and fence off orders for them that are still under way."""
         worker.session = 0
-        self._give_up(worker, gone, now_ms, why=why)
+        self._mark_lost(worker, lost, now_ms, why=why)
 
-    def _give_up(
-        self, worker: Worker, gone: Sequence[PlacedRun], now_ms: int, *, why: str
+    def _mark_lost(
+        self, worker: Worker, lost: Sequence[PlacedRun], now_ms: int, *, why: str
     ) -> None:
-        if not gone:
+        if not lost:
             return
         log_event(
             "decision:runs-lost",
             worker=worker.id,
             life=worker.life,
             why=why,
-            runs=[str(placed.ref) for placed in gone],
+            runs=[str(placed.ref) for placed in lost],
         )
-        for placed in gone:
-            self._take_end(worker, placed.ref, EndKind.LAPSED, "", now_ms)
+        for placed in lost:
+            self._apply_end(worker, placed.ref, EndKind.LAPSED, "", now_ms)
 
     @staticmethod
-    def _describe(worker: Worker, report: Report) -> None:
+    def _update_description(worker: Worker, report: Report) -> None:
         worker.service = report.service
         worker.data_centre = report.data_centre
         worker.capacity = report.capacity
@@ -233,7 +235,7 @@
                 runs=[str(ref) for ref in worker.held_by_ref],
             )
 
-    def _take_rejection(
+    def _apply_rejection(
         self, worker: Worker, rejected: RejectedStart, now: timedelta, now_ms: int
     ) -> None:
         if rejected.ref not in worker.held_by_ref:
@@ -245,44 +247,44 @@
             reason=rejected.reason.value,
         )
         if rejected.reason in (Refusal.UNHEALTHY, Refusal.NO_ROOM):
-            worker.blocked_until = now + _BLOCK
+            worker.blocked_until = now + _BLOCK_TIME
         if rejected.reason is Refusal.NO_TICKET:
             placed = worker.held_by_ref[rejected.ref]
             placed.step.ticket_by_life.pop(placed.life, None)
         kind = EndKind.STOPPED
         if rejected.reason is Refusal.INVALID:
-            # The worker will never take it; counted like a failure, or the job
-            # would be tried for ever.
+            # The worker will never accept it. It counts as a failure, since otherwise
+            # the job would be retried for ever.
             kind = EndKind.FAILED
-        self._take_end(worker, rejected.ref, kind, "", now_ms)
+        self._apply_end(worker, rejected.ref, kind, "", now_ms)
 
-    def _take_stalls(
+    def _stop_stalled(
         self, worker: Worker, stalled: Sequence[RunRef], now: timedelta
     ) -> None:
-        """Stop the runs that make no progress, to start them elsewhere."""
+        """Stop the runs that make no progress, so that they restart elsewhere."""
         held = [worker.held_by_ref[ref] for ref in stalled if ref in worker.held_by_ref]
         new = [placed for placed in held if not placed.is_stopping]
         for placed in new:
             log_event("decision:stop-stalled", run=str(placed.ref), worker=worker.id)
             placed.is_stopping = True
         for placed in new:
-            self._note_bad(worker, placed, now)
+            self._add_failure(worker, placed, now)
 
-    def _note_health(
+    def _update_health(
         self,
         worker: Worker,
         ended: Sequence[tuple[PlacedRun, EndKind]],
         now: timedelta,
     ) -> None:
-        """Note what ends told at once say of the worker; good ones speak first."""
+        """Update a worker's health by the ends in a report, successes first."""
         for placed, kind in ended:
             if kind is EndKind.DONE:
                 worker.health.record_success(placed.placed_at)
         for placed, kind in ended:
             if kind is EndKind.FAILED:
-                self._note_bad(worker, placed, now)
+                self._add_failure(worker, placed, now)
 
-    def _note_bad(self, worker: Worker, placed: PlacedRun, now: timedelta) -> None:
+    def _add_failure(self, worker: Worker, placed: PlacedRun, now: timedelta) -> None:
         task = placed.ref.task
         placed.step.avoid_by_index.setdefault(task.index, set()).add(worker.id)
         block = worker.health.record_failure(
@@ -305,7 +307,7 @@
             for_s=block.total_seconds(),
         )
 
-    def _take_end(
+    def _apply_end(
         self,
         worker: Worker,
         ref: RunRef,
@@ -327,19 +329,19 @@
         if checkpoint:
             step.keeper(ref.task.index).checkpoint = checkpoint
         if kind is EndKind.DONE and not step.spec.is_service:
-            self._note_done(step, ref, now_ms)
+            self._complete_task(step, ref, now_ms)
             return
         record.phase = TaskPhase.WAITING
         step.recount()
         if kind is EndKind.FAILED and not step.spec.is_service:
-            self._note_failure(step, ref, now_ms)
+            self._count_failure(step, ref, now_ms)
         if step.spec.is_gang:
             self._stop_gang(step, ref.run)
 
-    def _note_done(self, step: LiveStep, ref: RunRef, now_ms: int) -> None:
+    def _complete_task(self, step: LiveStep, ref: RunRef, now_ms: int) -> None:
         ended = [step.records[ref.task.index]]
         if step.spec.is_gang:
-            # A gang ends as a whole, so one such end stands for all of them.
+            # A gang completes as a whole, so the end of one member completes all.
             ended = step.records
         for record in ended:
             record.phase = TaskPhase.DONE
@@ -351,7 +353,7 @@
             log_event("decision:completed", job=job.id)
             self._finish(job, JobState.COMPLETED, now_ms)
 
-    def _note_failure(self, step: LiveStep, ref: RunRef, now_ms: int) -> None:
+    def _count_failure(self, step: LiveStep, ref: RunRef, now_ms: int) -> None:
         record = step.records[0 if step.spec.is_gang else ref.task.index]
         if step.spec.is_gang and ref.run in step.failed_runs:
             return
@@ -370,7 +372,7 @@
             self._finish(job, JobState.FAILED, now_ms)
 
     def _stop_gang(self, step: LiveStep, run: int) -> None:
-        """Stop the rest of a gang, which would wait for the one that ended."""
+        """Stop the rest of a gang, which would wait for the member that ended."""
         for placed in self.fleet.placed_runs():
             if placed.step is step and placed.ref.run == run:
                 placed.is_stopping = True
@@ -383,7 +385,7 @@
                 placed.is_stopping = True
 
     def next_due_ms(self) -> int | None:
-        """When the next occurrence of any job is due."""
+        """Return when the next occurrence of any job is due, None if there is none."""
         dues = [job.next_due_ms for job in self.active_by_id.values()]
         return min((due for due in dues if due is not None), default=None)
 
@@ -393,5 +395,5 @@
             self.active_by_id[job.id] = job
 
     def terms_of(self, job: LiveJob) -> QueueTerms:
-        """Return the terms under which a job runs now."""
+        """Return the queue terms that apply to a job now."""
         return self._holder.terms_of(job.accepted.queue, otherwise=job.accepted.terms)
