--- a/coltsfoottray/scheduler/cluster_state.py
+++ b/coltsfoottray/scheduler/cluster_state.py
@@ -136,9 +136,7 @@
             if not worker.held_by_ref or worker.runs_end_by >= now:
                 continue
             silent_s = (now - worker.last_heard).total_seconds()
-            why = (
-                f"lease expired; no report from its attendant for {silent_s:.1f} s"
-            )
+            why = f"lease expired; attendant silent for {silent_s:.1f} s"
             held = list(worker.held_by_ref.values())
             self._fence_lost_runs(worker, held, now_ms, why=why)
             worker.is_reachable = False
