--- a/coltsfoottray/scheduler/fleet.py
+++ b/coltsfoottray/scheduler/fleet.py
@@ -1,4 +1,4 @@
-"""The workers as the scheduler knows them."""
+"""The scheduler's view of workers and of the runs placed on them."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 __all__ = ["MAX_ORPHAN_TIME", "Fleet", "PlacedRun", "Worker"]
 
-# A slowed filler may be let work a little more by the next look.
+# Share of its request by which a slowed filler may speed up until the next poll.
 _FILLER_HEADROOM = 0.15
 _MILLI = 1000.0
-# A worker that fails what it starts does so within some tenths of a second; one on
-# which tasks stand still is found out after 1.5 s.
-_TRIAL = timedelta(seconds=2)
+# A worker that fails its tasks does so within some tenths of a second; one on which
+# tasks make no progress is detected after 1.5 s.
+_PROBE_TIME = timedelta(seconds=2)
 _NEVER = timedelta(days=-1)
 
-# A new life of a worker that never answers its attendant cannot show what it runs. A
-# start of the life before that reached it, seconds late, would run for a lease of 10 s
-# at the most.
+# A new incarnation of a worker that never answers its attendant cannot list its runs. A
+# start meant for the previous incarnation that arrives there seconds late runs for at
+# most one lease of 10 s.
 MAX_ORPHAN_TIME = timedelta(seconds=16)
-_NOTHING = Resources()
+_NO_RESOURCES = Resources()
 
 
 @dataclass(kw_only=True, eq=False)
@@ -37,11 +37,13 @@
     Parameters
     ----------
     is_released : bool
-        Its assignment is stored, so the worker may be told.
+        Whether its assignment is stored, so that the start may be sent to the worker.
     is_stopping : bool
-        It is to end; until its end is known it takes room.
+        Whether it is to be stopped; it occupies room until its end is known.
     placed_at : timedelta
         When it was assigned, by the scheduler's clock.
+    percent, figure : float
+        Its last reported progress and usage; see `RunStatus`.
     """
 
     ref: RunRef
@@ -56,68 +58,69 @@
     figure: float = 0.0
 
     def __post_init__(self) -> None:
-        self.progress = Progress(begun=self.placed_at)
+        self.progress = Progress(placed_at=self.placed_at)
 
     @property
     def speed(self) -> float:
-        """At which part of its full speed it works, by the processors it uses."""
-        wanted = self.step.spec.demand.processors
-        if not self.step.spec.is_filler or wanted <= 0:
+        """Fraction of its full speed at which it runs, by the processors it uses."""
+        requested = self.step.spec.demand.processors
+        if not self.step.spec.is_filler or requested <= 0:
             return 1.0
-        return min(self.figure / _MILLI / wanted, 1.0)
+        return min(self.figure / _MILLI / requested, 1.0)
 
     def update_status(self, percent: float, figure: float, now: timedelta) -> None:
-        """Take in how far it is and what it uses."""
-        self.progress.note(percent, speed=self.speed, now=now)
+        """Update the progress and usage of the run."""
+        self.progress.update(percent, speed=self.speed, now=now)
         self.percent = percent
         self.figure = figure
-        self._tell_length(self.progress.length_ms())
+        self._record_length(self.progress.length_ms())
 
     def record_completion(self, now: timedelta) -> None:
-        """Take in that it has ended well."""
-        self._tell_length(self.progress.length_at_end(now, speed=self.speed))
+        """Record that the run has completed."""
+        self._record_length(self.progress.length_at_end(now, speed=self.speed))
 
-    def _tell_length(self, length_ms: float | None) -> None:
+    def _record_length(self, length_ms: float | None) -> None:
         if length_ms is not None and not self.step.spec.is_service:
             self.step.job.note_length(self.step.number, length_ms)
 
     @property
     def reserved(self) -> Resources:
-        """What it takes from the worker's capacity."""
+        """Resources that the run reserves on its worker."""
         return self.step.spec.reserved
 
 
 @dataclass(kw_only=True, eq=False)
 class Worker:
-    """One VM that runs tasks, by its attendant's reports.
+    """One VM that runs tasks, as described by its attendant's reports.
 
     Parameters
     ----------
     session : int
-        The fencing token of its attendant's orders; a new one is granted when
-        the attendant starts anew, when the worker does, and when runs have been
-        given up here.
+        Fencing token of its attendant's orders. A new one is granted when the
+        attendant or the worker restarts, and when runs on it were declared lost.
     session_life : str
-        The life for which it was granted.
+        The worker's incarnation for which the session was granted.
     lease_end : timedelta
-        Nothing runs here after it unless a lease is granted once more.
-    answered : timedelta
-        When a report last showed that the worker answers its attendant, or a new
-        attendant began to look for it.
+        When its lease expires. No run outlives the lease unless it is renewed.
+    last_answered : timedelta
+        When a report last showed that the worker answers its attendant, or when a new
+        attendant began to poll it.
     report_number : int
-        The latest report of this life of its attendant.
-    replaced : timedelta, optional
-        Since when another life than that of the runs held is known to be there.
-    is_listed : bool
-        The lease row calls it silent; until another one stands it gets no lease.
+        Number of the latest report of the attendant's current incarnation.
+    replaced_since : timedelta, optional
+        Since when the worker is known to run in another incarnation than the one that
+        its held runs were meant for.
+    is_listed_silent : bool
+        Whether the stored lease row lists it as silent; it gets no lease until a row
+        without it is stored.
     acknowledged : int
-        Ends of this life up to this number are stored.
-    strays : set of RunRef
-        Runs found here that should not be.
-    leaves : timedelta
-        While it drains: until when it surely stays.
+        Ends of its current incarnation up to this number are stored.
+    orphans : set of RunRef
+        Runs reported by the worker that the scheduler does not expect there.
+    leaves_at : timedelta
+        Until when a draining worker certainly stays.
     blocked_until : timedelta
-        Takes nothing new until then.
+        Until when it gets no new tasks.
     """
 
     id: str
@@ -130,7 +133,7 @@
     replaced_since: timedelta | None = None
     service: str = ""
     data_centre: str = ""
-    capacity: Resources = _NOTHING
+    capacity: Resources = _NO_RESOURCES
     labels: list[str] = field(default_factory=list)
     rack: str = ""
     is_draining: bool = False
@@ -155,69 +158,71 @@
 
     @property
     def room(self) -> Resources:
-        """What is not yet taken of its capacity."""
+        """Capacity that no run reserves."""
         return self.capacity - self.reserved
 
     @property
     def idle_processors(self) -> float:
-        """Processors that none of its tasks is likely to use."""
+        """Processors that its runs are not expected to use."""
         return self.capacity.processors - self.busy_processors
 
     def share_of(self, processors: float) -> float:
-        """Return which part of the whole worker `processors` are."""
+        """Return `processors` as a fraction of the worker's capacity."""
         return processors / max(self.capacity.processors, 1e-9)
 
     @property
     def has_unconfirmed_runs(self) -> bool:
-        """Whether it is not known yet what became of runs that it had."""
+        """Whether it holds runs of which it is not yet known whether they exist."""
         if not self.held_by_ref:
             return False
         return not self.life or self.replaced_since is not None
 
     @property
     def runs_end_by(self) -> timedelta:
-        """When nothing that is held here can run any more.
+        """When none of the held runs can exist any more.
 
-        Another life of the worker may have taken starts that were meant for the one
-        before. Its clock is another, so that they outlast the lease of that one.
+        A new incarnation of the worker may have accepted starts meant for the previous
+        one. It has a clock of its own, so these runs can outlive the previous lease.
         """
         if self.replaced_since is None:
             return self.lease_end
         return max(self.lease_end, self.replaced_since + MAX_ORPHAN_TIME)
 
     def has_probe_running(self, now: timedelta) -> bool:
-        """Whether a first task after a block is yet to show if the worker is sound.
+        """Return whether the first task after a block is still under observation.
 
-        Tasks placed together after a block would all fail where it is still bad.
+        On a worker that has not recovered, all tasks placed together after a block
+        would fail.
         """
         return self.health.is_on_probation and any(
-            self.blocked_until <= placed.placed_at and now - placed.placed_at < _TRIAL
+            self.blocked_until <= placed.placed_at
+            and now - placed.placed_at < _PROBE_TIME
             for placed in self.held_by_ref.values()
         )
 
     def held_by_other_lives(self, life: str) -> list[PlacedRun]:
-        """Return the runs that were meant for another life than `life`."""
+        """Return the held runs that were meant for another incarnation than `life`."""
         if not life:
             return []
         return [placed for placed in self.held_by_ref.values() if placed.life != life]
 
     def hold(self, placed: PlacedRun) -> None:
-        """Take room for a run."""
+        """Reserve room for a run."""
         self.held_by_ref[placed.ref] = placed
-        self._sum_up()
+        self._recompute_sums()
 
     def release(self, ref: RunRef) -> PlacedRun | None:
-        """Give back the room of a run that cannot exist any more."""
+        """Release the room of a run that cannot exist any more."""
         placed = self.held_by_ref.pop(ref, None)
-        self._sum_up()
+        self._recompute_sums()
         return placed
 
     def recompute_usage(self) -> None:
-        """Count anew, after a report has told what runs use."""
-        self._sum_up()
+        """Recompute the sums after a report has updated the usage of runs."""
+        self._recompute_sums()
 
-    def _sum_up(self) -> None:
-        """Add up anew: sums kept by adding and taking away would drift."""
+    def _recompute_sums(self) -> None:
+        """Recompute all sums; incremental updates would accumulate rounding errors."""
         held = self.held_by_ref.values()
         self.reserved = Resources.total([placed.reserved for placed in held])
         self.service_images = sorted(
@@ -233,26 +238,26 @@
             if spec.is_filler:
                 share = self.share_of(spec.demand.processors)
                 self.filler_share_by_image[spec.image] += share
-        self.busy_processors = sum(_likely_use(placed) for placed in held)
+        self.busy_processors = sum(_expected_usage(placed) for placed in held)
 
 
-def _likely_use(placed: PlacedRun) -> float:
-    """Return the processors that a run is likely to keep busy.
+def _expected_usage(placed: PlacedRun) -> float:
+    """Return the processors that a run is expected to use.
 
-    Of a filler it is what it used lately: one that is slowed for a service's sake
-    leaves the rest to others.
+    For a filler this is its recent usage with some headroom: a filler that is slowed
+    down for a service leaves the rest to other runs.
     """
     spec = placed.step.spec
-    wanted = spec.demand.processors
+    requested = spec.demand.processors
     if spec.target_latency_ms:
-        return wanted * SERVICE_USE
+        return requested * SERVICE_USE
     if spec.is_filler and placed.figure > 0:
-        return min(wanted, placed.figure / _MILLI + wanted * _FILLER_HEADROOM)
-    return wanted
+        return min(requested, placed.figure / _MILLI + requested * _FILLER_HEADROOM)
+    return requested
 
 
 class Fleet:
-    """All workers, by their attendant's name."""
+    """All workers, by the name of their attendant."""
 
     def __init__(self) -> None:
         self.worker_by_id: dict[str, Worker] = {}
@@ -260,7 +265,7 @@
     def get_or_add(
         self, worker: str, address: Address | None, lease_end: timedelta
     ) -> Worker:
-        """Return a worker, new if it was not known."""
+        """Return a worker, and add it if it is not known yet."""
         known = self.worker_by_id.get(worker)
         if known is None:
             known = Worker(id=worker, address=address, lease_end=lease_end)
--- a/coltsfoottray/scheduler/lengths.py
+++ b/coltsfoottray/scheduler/lengths.py
@@ -1,9 +1,10 @@
-"""How long tasks really take, learned from those that have run.
+"""Estimation of task lengths from tasks that have run.
 
-Answers a load whose callers cannot tell how long their tasks take: by what they declare
-some jobs seem late that could be on time, others on time that are lost, and what room
-there is goes to the wrong ones. What the tasks of a step took tells the rest of that
-step; what a queue's steps took beside what was declared of them tells of its next ones.
+Some callers cannot predict how long their tasks take. By their declared lengths some
+jobs would seem late that can still be on time, others on time that cannot, and free
+capacity would go to the wrong jobs. The length of a step's first tasks predicts the
+others of that step; the observed and declared lengths of a queue's steps predict the
+next steps of that queue.
 """
 
 from __future__ import annotations
@@ -14,97 +15,108 @@
 
 __all__ = ["LengthEstimator", "Progress"]
 
-# So many steps seen weigh as much as what callers declare.
-_TRUST_IN_DECLARED = 4.0
-# Less progress tells little of a whole task.
-_TELLING_PERCENT = 25.0
+# Weight of the declared lengths, as a number of observed steps.
+_DECLARED_WEIGHT = 4.0
+# Progress over less than this predicts the length of a whole task poorly.
+_MIN_PREDICTIVE_PERCENT = 25.0
 _MILLI = 1000.0
 _WHOLE = 100.0
-_LEAST_MS = 1.0
+_MIN_MS = 1.0
 
 
 class Progress:
-    """How far one run has come, and how much work that took.
+    """Progress of one run and the time that it took at full speed.
 
     Parameters
     ----------
-    begun : timedelta
-        When it was placed.
+    placed_at : timedelta
+        When the run was placed.
     """
 
-    def __init__(self, *, begun: timedelta) -> None:
-        self._seen = begun
+    def __init__(self, *, placed_at: timedelta) -> None:
+        self._updated_at = placed_at
         self._first_percent: float | None = None
         self._percent = 0.0
-        self._worked = timedelta(0)
-
-    def note(self, percent: float, *, speed: float, now: timedelta) -> None:
-        """Note how far it is, and at which part of its full speed it works."""
+        self._time_at_full_speed = timedelta(0)
+
+    def update(self, percent: float, *, speed: float, now: timedelta) -> None:
+        """Update the progress of the run.
+
+        Parameters
+        ----------
+        percent : float
+            How much of the work is done.
+        speed : float
+            Fraction of its full speed at which the run works.
+        now : timedelta
+            When the progress was reported.
+        """
         if self._first_percent is None:
             self._first_percent = percent
         else:
-            self._worked += (now - self._seen) * speed
-        self._seen = now
+            self._time_at_full_speed += (now - self._updated_at) * speed
+        self._updated_at = now
         self._percent = percent
 
     def length_ms(self) -> float | None:
-        """Return the length of the whole task by what is done; None if too little."""
+        """Return the predicted length of the task in ms, None after too little work."""
         return self._length(self._percent)
 
     def length_at_end(self, now: timedelta, *, speed: float) -> float | None:
-        """Return the length of a task that has ended well."""
+        """Return the length of a completed task in ms, None if it cannot be told."""
         if self._first_percent is None:
-            return (now - self._seen).total_seconds() * _MILLI
-        self._worked += (now - self._seen) * speed
-        self._seen = now
+            return (now - self._updated_at).total_seconds() * _MILLI
+        self._time_at_full_speed += (now - self._updated_at) * speed
+        self._updated_at = now
         return self._length(_WHOLE)
 
     def _length(self, percent: float) -> float | None:
         if self._first_percent is None:
             return None
         done = percent - self._first_percent
-        if done < _TELLING_PERCENT:
+        if done < _MIN_PREDICTIVE_PERCENT:
             return None
-        return self._worked.total_seconds() * _MILLI * _WHOLE / done
+        return self._time_at_full_speed.total_seconds() * _MILLI * _WHOLE / done
 
 
 @dataclass
 class _Sums:
-    """Sums over a queue's steps of logarithms: declared and seen."""
+    """Sums over a queue's steps of the logarithms of declared and observed lengths."""
 
     count: int = 0
     declared: float = 0.0
-    seen: float = 0.0
+    observed: float = 0.0
     declared_squared: float = 0.0
     product: float = 0.0
 
-    def add(self, declared: float, seen: float) -> None:
+    def add(self, declared: float, observed: float) -> None:
         self.count += 1
         self.declared += declared
-        self.seen += seen
+        self.observed += observed
         self.declared_squared += declared * declared
-        self.product += declared * seen
+        self.product += declared * observed
 
-    def expect(self, declared: float) -> float:
-        """Return what to expect of a step, by a line through those seen.
+    def predict(self, declared: float) -> float:
+        """Return the logarithm of the length expected for a step.
 
-        The line begins as what is declared, and gives way to what is seen.
+        It is predicted by a linear regression of observed on declared lengths, which
+        starts as the declared length and shifts to the observed ones with each step.
         """
         mean = self.declared / self.count
-        shift = (self.seen - self.declared) / (self.count + _TRUST_IN_DECLARED)
+        shift = (self.observed - self.declared) / (self.count + _DECLARED_WEIGHT)
         variance = self.declared_squared - self.count * mean * mean
-        covariance = self.product - mean * self.seen
-        slope = (covariance + _TRUST_IN_DECLARED) / (variance + _TRUST_IN_DECLARED)
+        covariance = self.product - mean * self.observed
+        slope = (covariance + _DECLARED_WEIGHT) / (variance + _DECLARED_WEIGHT)
         return mean + shift + min(max(slope, 0.0), 1.0) * (declared - mean)
 
 
 class LengthEstimator:
-    """Learns by queue what a declared length means.
+    """Predict the length of a queue's tasks from their declared length.
 
     Attributes
     ----------
-    edition : int
-        Rises with each length that was noted.
+    revision : int
+        Increases with each observed length.
     """
 
     def __init__(self) -> None:
@@ -112,18 +124,18 @@
         self.revision = 0
 
     def note(self, queue: str, *, declared_ms: float, seen_ms: float) -> None:
-        """Take in how long the tasks of one step took."""
+        """Add the observed length of the tasks of one step."""
         sums = self._sums_by_queue.setdefault(queue, _Sums())
         sums.add(_log(declared_ms), _log(seen_ms))
         self.revision += 1
 
     def expected_ms(self, queue: str, declared_ms: float) -> float:
-        """Return how long a task of a queue is likely to take, in ms."""
+        """Return the expected length of a task of a queue, in ms."""
         sums = self._sums_by_queue.get(queue)
         if sums is None:
             return declared_ms
-        return math.exp(sums.expect(_log(declared_ms)))
+        return math.exp(sums.predict(_log(declared_ms)))
 
 
 def _log(length_ms: float) -> float:
-    return math.log(max(length_ms, _LEAST_MS))
+    return math.log(max(length_ms, _MIN_MS))
