--- a/coltsfoottray/scheduler/health.py
+++ b/coltsfoottray/scheduler/health.py
@@ -1,15 +1,15 @@
-"""Whether a worker does its tasks any good.
-
-Answers workers that fail or stall all they start while they report themselves as
-healthy: each task placed there costs its job an attempt. But one task in twenty fails
-by its own fault, and some jobs fail everywhere; a sound worker that is left alone for
-it is room that its callers miss. What tells the two apart is what has become of the
-*other* tasks that were placed there since: on a sound worker most of them end well or
-are still at work, at an age at which those that failed had failed.
-
-A worker is suspected when tasks of two jobs have gone wrong with nothing placed since
-the first of them having ended well, and those at work are too few to speak for it. It
-then takes nothing for a while, and each time longer until a task ends well there.
+"""Detection of unhealthy workers from the outcomes of their tasks.
+
+A worker may fail or stall all its tasks while it reports itself as healthy, and each
+task placed there costs its job an attempt. On the other hand one task in twenty fails
+by itself, and some jobs fail on every worker; blocking a healthy worker for such
+failures wastes its capacity. The two cases differ in the *other* tasks placed on the
+worker since: on a healthy worker most of them complete, or still run at an age at
+which the failed tasks had already failed.
+
+A worker is considered unhealthy when tasks of two jobs have failed or stalled, no task
+placed since the first of them has completed, and too few others are still running. It
+is then blocked for some time, which grows with each block until a task completes there.
 """
 
 from __future__ import annotations
@@ -22,55 +22,55 @@
 
 __all__ = ["WorkerHealth"]
 
-# Some 5% of tasks fail by themselves: two of different jobs in a row, on one worker,
-# are more likely the worker's fault.
-_SUSPECT_JOBS = 2
-# More than so many failures to each task that is sound at the same age: with fewer,
-# sound workers are blocked for failures that are their tasks' own.
-_FAILURES_TO_SURVIVORS = 2
-# Troubles longer ago than this are not of one cause: workers that go bad stay so for
-# some six seconds.
-_MEMORY = timedelta(seconds=6)
-# How long a suspect takes nothing, doubled each time up to the limit.
+# Some 5% of tasks fail by themselves: failures of two different jobs in a row on one
+# worker are more likely the worker's fault.
+_MIN_FAILED_JOBS = 2
+# A worker is blocked only for more failures than this per task that has run longer and
+# not failed. A lower limit blocks healthy workers for their tasks' own failures.
+_MAX_FAILURES_PER_SURVIVOR = 2
+# Failures further apart do not have the same cause: workers that become unhealthy stay
+# so for some six seconds.
+_FAILURE_WINDOW = timedelta(seconds=6)
+# How long an unhealthy worker is blocked; doubled with each block up to the maximum.
 _FIRST_BLOCK = timedelta(seconds=2)
 _MAX_BLOCK = timedelta(seconds=8)
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Trouble:
-    """A task that failed or stalled, and when it was placed and found so."""
+class _Failure:
+    """A task that failed or stalled, with the times of its placement and detection."""
 
     job: JobId
     placed_at: timedelta
-    seen: timedelta
+    detected_at: timedelta
 
     @property
     def age(self) -> timedelta:
-        """How long after its placement it was found to have gone wrong."""
-        return self.seen - self.placed_at
+        """Time from the placement of the task to the detection of its failure."""
+        return self.detected_at - self.placed_at
 
 
 class WorkerHealth:
-    """What has become of the tasks on one worker lately."""
+    """Recent outcomes of the tasks on one worker."""
 
     def __init__(self) -> None:
-        self._troubles: list[_Trouble] = []
-        self._block = _FIRST_BLOCK
-        self._last_bad = timedelta.min
-        self._last_good = timedelta.min
+        self._failures: list[_Failure] = []
+        self._next_block = _FIRST_BLOCK
+        self._last_failure = timedelta.min
+        self._last_success_placed_at = timedelta.min
         self._blocked_until = timedelta.min
         self.is_on_probation = False
 
     def record_success(self, placed_at: timedelta) -> None:
-        """Note that a task ended well that was placed at `placed_at`.
+        """Record the completion of a task that was placed at `placed_at`.
 
-        It clears the worker only of trouble with tasks placed no later: a worker that
-        fails all it starts still ends well what it started earlier.
+        This clears only failures of tasks that were placed no later: a worker that has
+        begun to fail its tasks still completes those that it started before.
         """
-        self._last_good = max(self._last_good, placed_at)
-        self._troubles = [each for each in self._troubles if each.placed_at > placed_at]
-        if placed_at >= self._last_bad:
-            self._block = _FIRST_BLOCK
+        self._last_success_placed_at = max(self._last_success_placed_at, placed_at)
+        self._failures = [each for each in self._failures if each.placed_at > placed_at]
+        if placed_at >= self._last_failure:
+            self._next_block = _FIRST_BLOCK
             self.is_on_probation = False
 
     def record_failure(
@@ -81,41 +81,43 @@
         now: timedelta,
         running: Iterable[timedelta],
     ) -> timedelta | None:
-        """Note that a task failed or stalled; return how long to block, if so.
+        """Record a failed or stalled task; return how long to block the worker, if so.
 
         Parameters
         ----------
-        placed : timedelta
-            When the task was placed here.
+        placed_at : timedelta
+            When the task was placed on the worker.
         running : iterable of timedelta
-            When those tasks were placed that are still at work here.
+            When the tasks were placed that are still running on the worker.
         """
-        self._last_bad = now
-        if placed_at <= self._last_good:
+        self._last_failure = now
+        if placed_at <= self._last_success_placed_at:
             return None
-        self._troubles.append(_Trouble(job=job, placed_at=placed_at, seen=now))
-        self._troubles = [each for each in self._troubles if now - each.seen <= _MEMORY]
+        self._failures.append(_Failure(job=job, placed_at=placed_at, detected_at=now))
+        self._failures = [
+            each for each in self._failures if now - each.detected_at <= _FAILURE_WINDOW
+        ]
         if now < self._blocked_until:
-            # What was begun before the block fails one by one; that is no news.
+            # Tasks started before the block fail one by one; that adds no information.
             return None
-        jobs = {each.job for each in self._troubles}
-        if len(jobs) < _SUSPECT_JOBS and not self.is_on_probation:
+        jobs = {each.job for each in self._failures}
+        if len(jobs) < _MIN_FAILED_JOBS and not self.is_on_probation:
             return None
         survivors = self._count_survivors(running, now)
-        if len(self._troubles) <= _FAILURES_TO_SURVIVORS * survivors:
+        if len(self._failures) <= _MAX_FAILURES_PER_SURVIVOR * survivors:
             return None
-        block = self._block
-        self._block = min(self._block * 2, _MAX_BLOCK)
+        block = self._next_block
+        self._next_block = min(self._next_block * 2, _MAX_BLOCK)
         self._blocked_until = now + block
         self.is_on_probation = True
-        self._troubles.clear()
+        self._failures.clear()
         return block
 
     def _count_survivors(self, running: Iterable[timedelta], now: timedelta) -> int:
-        """Count the tasks that have outlived, by their age, one that went wrong."""
-        first = min(each.placed_at for each in self._troubles)
-        telling_age = min(each.age for each in self._troubles)
+        """Return how many tasks have run longer than the fastest failure took."""
+        first_placed_at = min(each.placed_at for each in self._failures)
+        min_failure_age = min(each.age for each in self._failures)
         return sum(
-            placed_at >= first and now - placed_at > telling_age
+            placed_at >= first_placed_at and now - placed_at > min_failure_age
             for placed_at in running
         )
