--- a/coltsfoottray/scheduler/packing.py
+++ b/coltsfoottray/scheduler/packing.py
@@ -1,9 +1,9 @@
-"""Which services move together so that a whole worker is left to fillers.
+"""Consolidation of services, which frees whole workers for fillers.
 
-Answers the load at which fillers wait since each worker has a service or two that they
-would disturb, though all services together would fit on fewer workers: services end at
-any time, and those that stay are scattered. A service that moves is away for about a
-second; a worker without any lets a dozen fillers work at full speed.
+Services end at any time, which leaves the others scattered: fillers then wait because
+each worker has a service or two that they would disturb, although all services would
+fit on fewer workers. A service that moves is down for about a second; a worker without
+services lets a dozen fillers run at full speed.
 """
 
 from __future__ import annotations
@@ -15,44 +15,44 @@
 
 __all__ = ["choose_moves", "is_fully_running"]
 
-# To clear a worker of more services costs their users more than fillers gain by it.
-_MAX_MOVED = 4
-# A service says so once its users are served.
-_AT_WORK_PERCENT = 100.0
+# Moving more services costs their users more than fillers gain.
+_MAX_MOVES = 4
+# A service reports this progress once it serves its users.
+_RUNNING_PERCENT = 100.0
 
 
 def choose_moves(workers: Sequence[Worker]) -> list[PlacedRun]:
-    """Return the services of the worker that is cleared with the fewest moves.
+    """Return the services of the worker that can be emptied with the fewest moves.
 
-    None is returned where no worker can be cleared. The others must have room for all
-    its services, and no fewer services than it has: so that moves come to an end.
+    The list is empty if no worker can be emptied. The services must fit on other
+    workers that have at least as many services, so that moves come to an end.
 
     Parameters
     ----------
     workers : sequence of Worker
-        Those that take new work.
+        The workers that accept new tasks.
     """
     hosts = [worker for worker in workers if worker.service_images]
     services_by_id = {host.id: _services(host) for host in hosts}
     hosts.sort(key=lambda host: (len(services_by_id[host.id]), host.id))
     for host in hosts:
         services = services_by_id[host.id]
-        if len(services) > _MAX_MOVED:
+        if len(services) > _MAX_MOVES:
             break
         others = [
             other
             for other in hosts
             if other is not host and len(services_by_id[other.id]) >= len(services)
         ]
-        if _have_room(others, services):
+        if _fit_on(others, services):
             return services
     return []
 
 
 def is_fully_running(runs: Sequence[PlacedRun]) -> bool:
-    """Whether all runs of a step are at work, so that one of them may be stopped."""
+    """Return whether all runs of a step are running, so that one may be stopped."""
     return len(runs) == len(runs[0].step.records) and all(
-        run.is_released and not run.is_stopping and run.percent >= _AT_WORK_PERCENT
+        run.is_released and not run.is_stopping and run.percent >= _RUNNING_PERCENT
         for run in runs
     )
 
@@ -65,8 +65,8 @@
     ]
 
 
-def _have_room(others: Sequence[Worker], services: Sequence[PlacedRun]) -> bool:
-    """Whether all of `services` find room on `others` together."""
+def _fit_on(others: Sequence[Worker], services: Sequence[PlacedRun]) -> bool:
+    """Return whether all of `services` fit on `others` together."""
     room_by_id = {other.id: other.room for other in others}
     moved_by_id: dict[str, list[PlacedRun]] = {other.id: [] for other in others}
     for placed in sorted(services, key=lambda each: -each.reserved.processors):
