--- a/coltsfoottray/scheduler/wait_reason.py
+++ b/coltsfoottray/scheduler/wait_reason.py
@@ -1,4 +1,4 @@
-"""Why tasks whose turn has come wait, told when it changes."""
+"""Reasons why the tasks of a ready step wait, logged when they change."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
 
 class WaitReason(enum.Enum):
-    """What a step lacks."""
+    """What a waiting step lacks."""
 
     ROOM = "room"
-    """No worker that may run it has what its tasks reserve."""
+    """No worker that may run it has the resources that its tasks reserve."""
     GOOD_PLACE = "good-place"
-    """It would crawl wherever there is room, or harm the services there."""
+    """Wherever there is room, it would run slowly or harm the services."""
     TICKET = "ticket"
-    """Its queue's policy has not said yet which workers may run it."""
+    """Its queue's policy has not yet allowed a worker to run it."""
 
 
-def record_wait_reason(step: LiveStep, hindrance: WaitReason) -> None:
-    """Note what the waiting tasks of a step lack; without any it lacks nothing."""
+def record_wait_reason(step: LiveStep, reason: WaitReason) -> None:
+    """Record why the waiting tasks of a step wait, and log it if it has changed."""
     if not step.waiting:
         step.hindrance = None
         return
-    if step.hindrance is hindrance:
+    if step.hindrance is reason:
         return
-    step.hindrance = hindrance
+    step.hindrance = reason
     log_event(
         "decision:wait",
         step=f"{step.job.id}.{step.occurrence}.{step.number}",
-        lacks=hindrance.value,
+        lacks=reason.value,
         waiting=len(step.waiting),
     )
