--- a/coltsfoottray/scheduler/advice.py
+++ b/coltsfoottray/scheduler/advice.py
@@ -1,8 +1,9 @@
-"""Which workers may run a step, where a queue's policy asks an outside service.
+"""Requests to an external service that decides which workers may run a step.
 
-Its answers take long, a fixed time and more for each worker named, and hold for some
-seconds only. One question is asked at a time, mostly for the most urgent step that has
-no valid answer, about the workers it would go to.
+The policy of a queue may require such advice. An answer takes long, a fixed time and
+more for each worker in the request, and is valid for a few seconds only. Therefore one
+request is sent at a time, mostly for the most urgent step without a valid answer, and
+about the workers that suit it best.
 """
 
 from __future__ import annotations
@@ -22,20 +23,20 @@
 
 __all__ = ["Adviser", "Permit", "run_advice_loop"]
 
-_POLL = timedelta(milliseconds=30)
-_RETRY = timedelta(milliseconds=200)
+_POLL_INTERVAL = timedelta(milliseconds=30)
+_RETRY_INTERVAL = timedelta(milliseconds=200)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Permit:
-    """One worker that may run the step."""
+    """Permission for one worker to run a step."""
 
     life: str
     ticket: str
 
 
 class Adviser(abc.ABC):
-    """The outside service."""
+    """The external service that allows workers to run a step."""
 
     @abc.abstractmethod
     async def advise(
@@ -49,57 +50,68 @@
     ) -> list[Permit]:
         """Return which of the workers may run a step.
 
+        Parameters
+        ----------
+        lives : list of str
+            Incarnations of the workers in question.
+
         Raises
         ------
         CommunicationError
-            If no answer came, or the service turned the question away.
+            If there is no answer, or the service rejects the request.
         """
 
 
 async def run_advice_loop(
     planner: Planner, adviser: Adviser, *, clock: Clock, wake: Callable[[], None]
 ) -> None:
-    """Keep the steps that need it supplied with tickets."""
-    questions = AdviceRequestSelector(planner=planner)
+    """Request tickets for ever for the steps that need them.
+
+    Parameters
+    ----------
+    wake : callable
+        Called after each answer, to plan again.
+    """
+    selector = AdviceRequestSelector(planner=planner)
     while True:
-        question = questions.choose(clock.elapsed())
-        if question is None:
-            await clock.sleep(_POLL)
+        request = selector.choose(clock.elapsed())
+        if request is None:
+            await clock.sleep(_POLL_INTERVAL)
             continue
-        terms = planner.terms_of(question.step).advice
-        if terms is not None and await _ask(question, terms, adviser, clock):
+        terms = planner.terms_of(request.step).advice
+        if terms is not None and await _request_advice(request, terms, adviser, clock):
             wake()
         else:
-            await clock.sleep(_RETRY)
+            await clock.sleep(_RETRY_INTERVAL)
 
 
-async def _ask(
-    question: AdviceRequest, terms: AdviceTerms, adviser: Adviser, clock: Clock
+async def _request_advice(
+    request: AdviceRequest, terms: AdviceTerms, adviser: Adviser, clock: Clock
 ) -> bool:
-    """Ask about one step; return whether an answer came."""
-    step = question.step
-    asked = clock.elapsed()
+    """Request advice on one step and store its tickets; return whether it came."""
+    step = request.step
+    requested_at = clock.elapsed()
     try:
         permits = await adviser.advise(
             job=step.job.id,
             occurrence=step.occurrence,
             step=step.number,
-            lives=question.lives,
+            lives=request.lives,
             terms=terms,
         )
     except CommunicationError as error:
         log_event("advice:no-answer", job=step.job.id, reason=str(error))
         return False
-    until = asked + timedelta(milliseconds=terms.validity_ms)
+    until = requested_at + timedelta(milliseconds=terms.validity_ms)
     step.ticket_by_life = {
         permit.life: Ticket(value=permit.ticket, until=until) for permit in permits
     }
-    AdviceRequestSelector.note_answer(question, step.ticket_by_life, asked)
+    AdviceRequestSelector.record_answer(request, step.ticket_by_life, requested_at)
     log_event(
         "decision:advised",
         step=f"{step.job.id}.{step.occurrence}.{step.number}",
-        asked=len(question.lives),
+        asked=len(request.lives),
         allowed=len(permits),
-        took_s=(clock.elapsed() - asked).total_seconds(),
+        took_s=(clock.elapsed() - requested_at).total_seconds(),
     )
     return True
