--- a/tests/scheduler/advice.feature
+++ b/tests/scheduler/advice.feature
@@ -1,20 +1,20 @@
-Feature: Queues whose steps only some workers may run
+Feature: Queues whose policy restricts the workers of a step
 
-  Scenario: A step goes only where the policy allows
-    # Guards against a start without the ticket of the service that says where a step may run.
+  Scenario: A step is placed only on workers that the policy allows
+    # Guards against a start without the ticket of the service that allows workers to run a step.
     Given two entries and 3 workers for jobs
     And the queue's policy allows only worker-2
     When the job "a" of 4 tasks of 1 s that need tickets is handed in at entry-1
     Then the job "a" is "completed" within 6 s
     And nothing was started on worker-1
     And nothing was started on worker-3
-    And no start was refused for want of a ticket
+    And no start was refused for lack of a ticket
 
-  Scenario: Tickets expire before all tasks have had room
-    # Guards against tasks that start late and find the first answer's tickets expired.
+  Scenario: Tickets expire before there was room for all tasks
+    # Guards against late starts that use the expired tickets of the first answer.
     Given two entries and 2 workers for jobs
     And the queue's policy allows only worker-1
     When the job "a" of 20 tasks of 2 s that need tickets is handed in at entry-1
     Then the job "a" is "completed" within 15 s
     And nothing was started on worker-2
-    And no start was refused for want of a ticket
+    And no start was refused for lack of a ticket
--- a/tests/scheduler/health.feature
+++ b/tests/scheduler/health.feature
@@ -1,7 +1,7 @@
-Feature: Workers that do their tasks no good are left alone
+Feature: Unhealthy workers are blocked
 
-  Scenario: A worker fails everything it starts
-    # Guards against a worker that says it is well and costs each task there an attempt.
+  Scenario: A worker fails all its tasks
+    # Guards against a worker that reports itself healthy but costs each task there an attempt.
     Given two entries and 3 workers for jobs
     And worker-1's machine fails everything it starts
     When 9 jobs of 1 task of 1 s are handed in, one a second
@@ -9,55 +9,55 @@
     And at most 5 tasks were started on worker-1
     And no task ran twice at a time or after its end
 
-  Scenario: Tasks on a worker stand still
-    # Guards against tasks that neither fail nor end, and are never done elsewhere.
+  Scenario: Tasks on a worker make no progress
+    # Guards against tasks that neither fail nor end and are never restarted elsewhere.
     Given two entries and 3 workers for jobs
     And tasks on worker-1's machine stand still
     When 6 jobs of 1 task of 1 s are handed in, one a second
     Then all 6 jobs are completed within 10 s
     And no task ran twice at a time or after its end
 
-  Scenario: A worker begins to fail what it starts
-    # Guards against ends of earlier tasks taken for proof that a failing worker is sound.
-    Given a worker that has run well
-    And it began a task of job "a" at second 1
+  Scenario: A worker begins to fail its tasks
+    # Guards against completions of earlier tasks taken as proof that a failing worker is healthy.
+    Given a healthy worker
+    And it started a task of job "a" at second 1
     When a task of job "b" fails there at second 2
-    And the task of job "a" ends well at second 2
+    And the task of job "a" completes at second 2
     And a task of job "c" fails there at second 3
-    Then it takes nothing new
+    Then it is blocked
 
   Scenario: Tasks on a worker fail one after the other
-    # Guards against a block doubled for failures of tasks begun before it.
-    Given a worker that has run well
+    # Guards against a block doubled by failures of tasks that were started before it.
+    Given a healthy worker
     When a task of job "a" fails there at second 2
     And a task of job "b" fails there at second 2
-    Then it takes nothing new
+    Then it is blocked
     When a task of job "c" fails there at second 3
-    Then it takes nothing new for 2 s
+    Then it is blocked for 2 s
 
-  Scenario: Tasks fail by their own fault on a sound worker
-    # Guards against a sound worker blocked for two failures in a row.
-    Given a worker that has run well
-    And it began a task of job "d" at second 1
-    And it began a task of job "e" at second 1
-    And it began a task of job "b" at second 1
+  Scenario: Tasks fail by themselves on a healthy worker
+    # Guards against a healthy worker blocked after two failures in a row.
+    Given a healthy worker
+    And it started a task of job "d" at second 1
+    And it started a task of job "e" at second 1
+    And it started a task of job "b" at second 1
     When a task of job "b" fails there at second 2
-    And it began a task of job "c" at second 2
+    And it started a task of job "c" at second 2
     And a task of job "c" fails there at second 3
-    Then it goes on taking tasks
+    Then it is not blocked
 
-  Scenario: A failure is seen after later tasks have ended well
-    # Guards against a failure that counts though later tasks ended well.
-    Given a worker that has run well
-    And it began a task of job "b" at second 1
-    And it began a task of job "d" at second 2
-    When the task of job "d" ends well at second 3
+  Scenario: A failure is detected after later tasks have completed
+    # Guards against a failure that counts although tasks placed later have completed.
+    Given a healthy worker
+    And it started a task of job "b" at second 1
+    And it started a task of job "d" at second 2
+    When the task of job "d" completes at second 3
     And a task of job "b" fails there at second 4
     And a task of job "c" fails there at second 5
-    Then it goes on taking tasks
+    Then it is not blocked
 
-  Scenario: A worker that still fails everything is tried by one task at a time
-    # Guards against all that waits placed on a worker whose block has just ended.
+  Scenario: A worker that may still be unhealthy is probed by one task at a time
+    # Guards against all waiting tasks being placed on a worker whose block has just ended.
     Given two entries and 2 workers for jobs
     And worker-1's machine fails everything it starts
     When the job "a" of 1 steps with 8 tasks of 2 s is handed in at entry-1
@@ -68,16 +68,16 @@
     Then at most 11 tasks were started on worker-1
 
   Scenario: A worker has recovered
-    # Guards against a long block for one failure after the trouble is over.
-    Given a worker that has run well
+    # Guards against a long block for a single failure after the worker has recovered.
+    Given a healthy worker
     When a task of job "b" fails there at second 2
-    And it began a task of job "a" at second 3
-    And the task of job "a" ends well at second 4
+    And it started a task of job "a" at second 3
+    And the task of job "a" completes at second 4
     And a task of job "c" fails there at second 5
-    Then it goes on taking tasks
+    Then it is not blocked
 
-  Scenario: A job that can never be done does not spoil the workers
-    # Guards against workers blocked for a job that fails everywhere.
+  Scenario: A job that fails on every worker does not block the workers
+    # Guards against healthy workers blocked because of a job that fails on every worker.
     Given two entries and 2 workers for jobs
     When the failing job "a" of 1 steps with 8 tasks of 1 s is handed in at entry-1
     And 2 s pass
--- a/tests/scheduler/lengths.feature
+++ b/tests/scheduler/lengths.feature
@@ -1,10 +1,10 @@
-Feature: What callers declare of their tasks is weighed by what they really take
+Feature: Declared task lengths are corrected by observed ones
 
-  Scenario: Jobs whose declared lengths tell nothing go in the order in which they came
-    # Guards against room for jobs that seem urgent only since they declare too little.
+  Scenario: Jobs with meaningless declared lengths run in the order of submission
+    # Guards against jobs preferred as urgent only because they declare too short a length.
     Given two entries and 1 workers for jobs
-    And the queue promises jobs within 3 times their length and 1000 ms
-    When 12 jobs of 2 s that declare 100 ms or 100 s by turns have run on a whole worker
+    And the queue's objective is 3 times a job's length and 1000 ms
+    When 12 jobs of 2 s that declare 100 ms and 100 s alternately have run on a whole worker
     And a job "x" of 2 s on a whole worker that declares 60000 ms is handed in
     And 500 ms pass
     And a job "y" of 2 s on a whole worker that declares 60000 ms is handed in
--- a/tests/steps/health_steps.py
+++ b/tests/steps/health_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what is thought of a worker by the ends of its tasks."""
+"""Steps on the health of a worker by the outcomes of its tasks."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from coltsfoottray.scheduler.health import WorkerHealth
 
 
-@given("a worker that has run well")
+@given("a healthy worker")
 def make_health(context):
     context.health = WorkerHealth()
     context.placed_by_job = {}
     context.blocks = []
 
 
-@step('it began a task of job "{job}" at second {second:d}')
-def begin(context, job, second):
+@step('it started a task of job "{job}" at second {second:d}')
+def start_task(context, job, second):
     context.placed_by_job[job] = timedelta(seconds=second)
 
 
 @step('a task of job "{job}" fails there at second {second:d}')
-def fail(context, job, second):
+def fail_task(context, job, second):
     now = timedelta(seconds=second)
     placed_at = context.placed_by_job.pop(job, now)
     running = context.placed_by_job.values()
@@ -33,22 +33,22 @@
     context.blocks.append(block)
 
 
-@step('the task of job "{job}" ends well at second {second:d}')
-def end_well(context, job, second):
+@step('the task of job "{job}" completes at second {second:d}')
+def complete_task(context, job, second):
     context.health.record_success(context.placed_by_job.pop(job))
 
 
-@then("it takes nothing new")
+@then("it is blocked")
 def check_blocked(context):
     assert context.blocks[-1] is not None, context.blocks
 
 
-@then("it goes on taking tasks")
-def check_sound(context):
+@then("it is not blocked")
+def check_not_blocked(context):
     assert context.blocks == [None] * len(context.blocks), context.blocks
 
 
-@then("it takes nothing new for {seconds:d} s")
-def check_block(context, seconds):
+@then("it is blocked for {seconds:d} s")
+def check_block_time(context, seconds):
     total = sum((each for each in context.blocks if each), timedelta(0))
     assert total == timedelta(seconds=seconds), context.blocks
--- a/tests/steps/job_placement_steps.py
+++ b/tests/steps/job_placement_steps.py
@@ -1,4 +1,4 @@
-"""Steps on where tasks of jobs go, what lets them in and how fast they work."""
+"""Steps on the placement of tasks, their tickets and the speed of fillers."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 _LATENCY_MS_BY_STATE = {"far below": 15.0, "near": 40.0, "over": 60.0}
 
 
-@then('the scheduler knows how "{filler}" presses on "{service}"')
-def check_known(context, filler, service):
+@then('the scheduler knows the pressure of "{filler}" on "{service}"')
+def check_known_pressure(context, filler, service):
     cell = context.world.cell
     known = cell.entry_by_name[cell.scheduler()].scheduler.known_pressures()
     pairs = {(each.pair.filler, each.pair.service) for each in known}
@@ -19,7 +19,7 @@
 
 
 @given("the queue's policy allows only {name}")
-@when("the policy comes to allow only {name}")
+@when("the policy changes to allow only {name}")
 def restrict_queue(context, name):
     context.world.cell.advice.allowed = {f"i-{name}"}
     terms = {"decisionMs": 100, "periodMs": 20, "validityMs": 3000}
@@ -31,12 +31,12 @@
     context.world.advance(1)
 
 
-@given('the policy allows nobody the job "{label}"')
+@given('the policy allows the job "{label}" on no worker')
 def forbid_job(context, label):
     context.world.cell.advice.hopeless.add(job_id(label))
 
 
-@when('the policy allows the job "{label}" as any other')
+@when('the policy allows the job "{label}" like any other')
 def permit_job(context, label):
     context.world.cell.advice.hopeless.discard(job_id(label))
 
@@ -53,7 +53,7 @@
     assert status == 200, status
 
 
-@then("no start was refused for want of a ticket")
+@then("no start was refused for lack of a ticket")
 def check_tickets(context):
     workers = context.world.cell.worker_by_name.values()
     assert not sum(worker.refused_tickets for worker in workers)
@@ -72,7 +72,7 @@
 
 
 @when(
-    'the filling job "{label}" of {tasks:d} tasks of {seconds:d} s '
+    'the filler job "{label}" of {tasks:d} tasks of {seconds:d} s '
     "is handed in at {entry}"
 )
 def submit_filler(context, label, tasks, seconds, entry):
@@ -81,14 +81,16 @@
     assert status == 200, status
 
 
-@when("{count:d} lasting jobs of {tasks:d} tasks each run apart, with tickets")
-def submit_apart_with_tickets(context, count, tasks):
-    submit_apart(context, count, tasks, needs_ticket=True)
+@when(
+    "{count:d} lasting jobs of {tasks:d} tasks each run with anti-affinity and tickets"
+)
+def submit_with_anti_affinity_and_tickets(context, count, tasks):
+    submit_with_anti_affinity(context, count, tasks, needs_ticket=True)
 
 
-@when("{count:d} lasting jobs of {tasks:d} tasks each run apart from one another")
-def submit_apart(context, count, tasks, **spec):
-    """Hand in small ones, of each of which a worker may run one task at a time."""
+@when("{count:d} lasting jobs of {tasks:d} tasks each run with anti-affinity")
+def submit_with_anti_affinity(context, count, tasks, **spec):
+    """Submit small jobs of which each worker may run at most one task at a time."""
     shape = make_steps(
         1, tasks, 1, longRunning=True, antiAffinity=1, cpu=10, memoryLimitMb=1
     )
@@ -100,31 +102,31 @@
 
 
 @when("{count:d} jobs that take a whole worker for {milliseconds:d} ms are handed in")
-def submit_wide(context, count, milliseconds):
+def submit_whole_worker_jobs(context, count, milliseconds):
     shape = make_steps(1, 1, 60, cpu=8000)
-    context.wide = [f"w{number}" for number in range(count)]
-    for label in context.wide:
+    context.whole_worker_labels = [f"w{number}" for number in range(count)]
+    for label in context.whole_worker_labels:
         status = context.world.submit_job(
             "entry-1", label, shape, work_s=milliseconds / 1000
         )
         assert status == 200, status
 
 
-@then("{count:d} or more of them have begun, in the order in which they came")
-def check_begun_in_order(context, count):
-    ids = [job_id(label) for label in context.wide]
-    begun = [each[0].split(".")[0] for each in context.world.cell.observer.starts]
-    assert len(begun) >= count, begun
-    assert begun == ids[: len(begun)], begun
+@then("{count:d} or more of them have started, in the order of submission")
+def check_started_in_order(context, count):
+    ids = [job_id(label) for label in context.whole_worker_labels]
+    started = [each[0].split(".")[0] for each in context.world.cell.observer.starts]
+    assert len(started) >= count, started
+    assert started == ids[: len(started)], started
 
 
 @then('a task of "{label}" was started')
-def check_some_start(context, label):
+def check_started(context, label):
     starts = context.world.cell.observer.starts
     assert any(each[0].startswith(job_id(label)) for each in starts), starts
 
 
-@then('every filler of "{label}" works at {percent:d} percent')
+@then('every filler of "{label}" runs at {percent:d} percent')
 def check_paces(context, label, percent):
     runs = [
         run
@@ -150,13 +152,13 @@
 
 
 @then("nothing was started on {name}")
-def check_unused(context, name):
+def check_nothing_started(context, name):
     starts = context.world.cell.observer.starts
     assert not [each for each in starts if each[2] == name], starts
 
 
 @then("at most {count:d} tasks were started on {name}")
-def check_few_starts(context, count, name):
+def check_max_starts(context, count, name):
     starts = [e for e in context.world.cell.observer.starts if e[2] == name]
     assert 0 < len(starts) <= count, starts
 
--- a/tests/steps/length_steps.py
+++ b/tests/steps/length_steps.py
@@ -1,4 +1,4 @@
-"""Steps on jobs that take longer or shorter than they declare."""
+"""Steps on jobs whose tasks take longer or shorter than declared."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 _LONG_MS = 100_000
 
 
-@given("the queue promises jobs within {factor:d} times their length and {ms:d} ms")
-def promise(context, factor, ms):
+@given("the queue's objective is {factor:d} times a job's length and {ms:d} ms")
+def set_objective(context, factor, ms):
     async def write():
         context.world.cell.write_config(slowdownFactor=factor, targetLatencyMs=ms)
 
@@ -20,8 +20,8 @@
 
 
 @when(
-    "{count:d} jobs of {seconds:d} s that declare 100 ms or 100 s by turns have run "
-    "on a whole worker"
+    "{count:d} jobs of {seconds:d} s that declare 100 ms and 100 s alternately have "
+    "run on a whole worker"
 )
 def run_misdeclared(context, count, seconds):
     for number in range(count):
@@ -39,10 +39,10 @@
 
 @then('no task of "{label}" was started before those of "{other}"')
 def check_order(context, label, other):
-    begun = [each[0].split(".")[0] for each in context.world.cell.observer.starts]
-    assert job_id(other) in begun, begun
-    if job_id(label) in begun:
-        assert begun.index(job_id(other)) < begun.index(job_id(label)), begun
+    started = [each[0].split(".")[0] for each in context.world.cell.observer.starts]
+    assert job_id(other) in started, started
+    if job_id(label) in started:
+        assert started.index(job_id(other)) < started.index(job_id(label)), started
 
 
 def _submit(context, label, seconds, declared_ms):
--- a/tests/steps/packing_steps.py
+++ b/tests/steps/packing_steps.py
@@ -1,4 +1,4 @@
-"""Steps on services that share workers, and on what is left to fillers."""
+"""Steps on services that share workers and on the workers left to fillers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 
 
 @when(
-    'the service "{label}" of image "{image}" that takes {cpu:d} of 8000 is handed in'
+    'the service "{label}" of image "{image}" that reserves {cpu:d} of 8000 '
+    "millicores is handed in"
 )
 def submit_service(context, label, image, cpu):
     shape = make_steps(
@@ -24,7 +25,7 @@
 
 
 @when(
-    'the filling job "{label}" of image "{image}" with {tasks:d} tasks of '
+    'the filler job "{label}" of image "{image}" with {tasks:d} tasks of '
     "{seconds:d} s is handed in"
 )
 def submit_filler(context, label, image, tasks, seconds):
@@ -40,15 +41,15 @@
     assert len(free) == count, free
 
 
-@then('the tasks of "{label}" run where no service does')
-def check_apart(context, label):
+@then('the tasks of "{label}" run on workers without services')
+def check_without_services(context, label):
     for worker in context.world.cell.worker_by_name.values():
         mine = [run for run in worker.run_by_task if run.startswith(job_id(label))]
         assert not (mine and _runs(worker, is_service=True)), worker.name
 
 
 @then('the tasks of "{label}" run beside services')
-def check_beside(context, label):
+def check_beside_services(context, label):
     for worker in context.world.cell.worker_by_name.values():
         mine = [run for run in worker.run_by_task if run.startswith(job_id(label))]
         assert not mine or _runs(worker, is_service=True), worker.name
