--- a/coltsfoottray/scheduler/advice.py
+++ b/coltsfoottray/scheduler/advice.py
@@ -65,7 +65,7 @@
 async def run_advice_loop(
     planner: Planner, adviser: Adviser, *, clock: Clock, wake: Callable[[], None]
 ) -> None:
-    """Request tickets for ever for the steps that need them.
+    """Continuously request tickets for the steps that need them.
 
     Parameters
     ----------
--- a/coltsfoottray/scheduler/fleet.py
+++ b/coltsfoottray/scheduler/fleet.py
@@ -172,7 +172,7 @@
 
     @property
     def has_unconfirmed_runs(self) -> bool:
-        """Whether it holds runs of which it is not yet known whether they exist."""
+        """Whether it is still unknown what became of the runs that it holds."""
         if not self.held_by_ref:
             return False
         return not self.life or self.replaced_since is not None
--- a/coltsfoottray/scheduler/lengths.py
+++ b/coltsfoottray/scheduler/lengths.py
@@ -25,7 +25,7 @@
 
 
 class Progress:
-    """Progress of one run and the time that it took at full speed.
+    """Progress of one run and the time that it would have taken at full speed.
 
     Parameters
     ----------
@@ -59,11 +59,11 @@
         self._percent = percent
 
     def length_ms(self) -> float | None:
-        """Return the predicted length of the task in ms, None after too little work."""
+        """Return the predicted length of the task in ms, None if it is too early."""
         return self._length(self._percent)
 
     def length_at_end(self, now: timedelta, *, speed: float) -> float | None:
-        """Return the length of a completed task in ms, None if it cannot be told."""
+        """Return the length of a completed task in ms, None if too little was seen."""
         if self._first_percent is None:
             return (now - self._updated_at).total_seconds() * _MILLI
         self._time_at_full_speed += (now - self._updated_at) * speed
--- a/coltsfoottray/scheduler/worker_selection.py
+++ b/coltsfoottray/scheduler/worker_selection.py
@@ -42,7 +42,7 @@
 
 # A worker whose last report is older gets no new tasks: two report intervals of one
 # second each, and half of one.
-_SILENCE = timedelta(seconds=2.5)
+_MAX_REPORT_AGE = timedelta(seconds=2.5)
 
 
 class Strictness(enum.Enum):
@@ -226,7 +226,10 @@
 def _spread_gang(
     step: LiveStep, workers: list[Worker], cost: Callable[[Worker], _Cost]
 ) -> list[Worker] | None:
-    """Return a worker for each task of a step, counting the tasks already assigned."""
+    """Return a worker for each task of a step, None unless there is room for all.
+
+    Tasks already assigned in this call count as held by their worker.
+    """
     room_by_id = {worker.id: worker.room for worker in workers}
     count_by_id = dict.fromkeys(room_by_id, 0)
     chosen: list[Worker] = []
@@ -258,7 +261,7 @@
         and not worker.is_draining
         and bool(worker.life)
         and worker.session > 0
-        and now - worker.last_heard < _SILENCE
+        and now - worker.last_heard < _MAX_REPORT_AGE
         and worker.blocked_until <= now
         and not worker.has_probe_running(now)
     )
