--- a/coltsfoottray/claims/__init__.py
+++ b/coltsfoottray/claims/__init__.py
@@ -5,14 +5,14 @@
 from coltsfoottray.claims.members import ClaimMembers
 from coltsfoottray.claims.memory import ClaimMemory
 from coltsfoottray.claims.messages import Claim, MemberRow
-from coltsfoottray.claims.service import Claims, Taking, TakingOutcome
+from coltsfoottray.claims.service import ClaimOutcome, ClaimResult, Claims
 
 __all__ = [
     "Claim",
     "ClaimMembers",
     "ClaimMemory",
+    "ClaimOutcome",
+    "ClaimResult",
     "Claims",
     "MemberRow",
-    "Taking",
-    "TakingOutcome",
 ]
--- a/coltsfoottray/claims/courier.py
+++ b/coltsfoottray/claims/batcher.py
@@ -20,7 +20,7 @@
 from coltsfoottray.peers import PeerClient
 from coltsfoottray.types import EntryId, Incarnation
 
-__all__ = ["Courier"]
+__all__ = ["ProposalBatcher"]
 
 # Longer than a slow scheduler, shorter than a caller's patience: past it the
 # table decides instead.
@@ -36,7 +36,7 @@
     done: trio.Event = field(default_factory=trio.Event)
 
 
-class Courier:
+class ProposalBatcher:
     """Gathers proposals to one member while a call to it is under way.
 
     At rest each proposal is a call of its own; under load one call carries as
--- a/coltsfoottray/claims/members.py
+++ b/coltsfoottray/claims/members.py
@@ -100,7 +100,7 @@
 
     def add_handlers(self, handlers: CallHandlers) -> None:
         """Answer other entries' calls."""
-        handlers.add(SYNC, self.sync)
+        handlers.add(SYNC, self.handle_sync)
 
     async def run(  # noqa: D102
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -161,12 +161,12 @@
         """Return the entry's own row, as it is or is to be written."""
         return self._describe()
 
-    def note_written(self, key: str, version: int) -> None:
+    def record_row(self, key: str, version: int) -> None:
         """Remember to delete a claim's row after the retention time."""
         at = self._clock.elapsed() + self._retention
         self._expiry_by_key[key] = _Expiry(version=version, at=at)
 
-    async def sync(self, request: SyncRequest) -> SyncReply:
+    async def handle_sync(self, request: SyncRequest) -> SyncReply:
         """Answer `SYNC`: ask the new member from now on, and tell it all."""
         self._member_by_entry[request.member.entry] = request.member
         left = timedelta(0)
@@ -308,7 +308,7 @@
         """Return the claims in the table; from now on this entry sweeps them too."""
         rows = await self._table.scan(CLAIM_PREFIX)
         for row in rows:
-            self.note_written(row.key, row.version)
+            self.record_row(row.key, row.version)
         return [row.decode(Claim) for row in rows]
 
     async def _sweep(self) -> None:
--- a/coltsfoottray/claims/memory.py
+++ b/coltsfoottray/claims/memory.py
@@ -82,7 +82,7 @@
         self._forget_old()
         return [held.claim for held in self._held_by_request.values()]
 
-    def judge(self, proposal: Proposal) -> ClaimVerdict:
+    def decide(self, proposal: Proposal) -> ClaimVerdict:
         """Record a member's claim unless another's stands in its way."""
         held = self.find(proposal.claim.request)
         is_free = (
--- a/coltsfoottray/claims/service.py
+++ b/coltsfoottray/claims/service.py
@@ -10,7 +10,7 @@
 from msgspec.structs import replace
 from returns.result import Success
 
-from coltsfoottray.claims.courier import CLAIM_TIMEOUT, Courier
+from coltsfoottray.claims.batcher import CLAIM_TIMEOUT, ProposalBatcher
 from coltsfoottray.claims.members import ClaimMembers
 from coltsfoottray.claims.memory import ClaimMemory
 from coltsfoottray.claims.messages import (
@@ -44,14 +44,14 @@
 from coltsfoottray.requests import Place
 from coltsfoottray.types import EntryId, Incarnation, RequestId
 
-__all__ = ["Claims", "Taking", "TakingOutcome"]
+__all__ = ["ClaimOutcome", "ClaimResult", "Claims"]
 
 _TABLE_WAIT = timedelta(seconds=1)
 _RACE_PAUSE = timedelta(milliseconds=5)
 _MAX_ROUNDS = 20
 
 
-class TakingOutcome(enum.Enum):
+class ClaimOutcome(enum.Enum):
     """What came of trying to take a claim."""
 
     MINE = "mine"
@@ -60,10 +60,10 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Taking:
+class ClaimResult:
     """The outcome, with the claim to follow or the reason."""
 
-    outcome: TakingOutcome
+    outcome: ClaimOutcome
     claim: Claim | None = None
     reason: str = ""
 
@@ -97,13 +97,13 @@
         self._table = table
         self._clock = clock
         self._taking: set[RequestId] = set()
-        self._courier_by_entry: dict[EntryId, Courier] = {}
+        self._courier_by_entry: dict[EntryId, ProposalBatcher] = {}
         self._nursery: trio.Nursery | None = None
 
     def add_handlers(self, handlers: CallHandlers) -> None:
         """Answer other entries' calls."""
-        handlers.add(CLAIM, self.judge)
-        handlers.add(RELEASE, self.take_release)
+        handlers.add(CLAIM, self.handle_claim)
+        handlers.add(RELEASE, self.handle_release)
 
     async def run(  # noqa: D102
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -113,14 +113,14 @@
             task_status.started()
             await trio.sleep_forever()
 
-    async def judge(self, request: ClaimRequest) -> ClaimReply:
+    async def handle_claim(self, request: ClaimRequest) -> ClaimReply:
         """Answer `CLAIM`."""
         if not self._members.is_member(request.incarnation):
             refusal = ClaimVerdict(verdict=Verdict.NOT_MEMBER)
             return ClaimReply(verdicts=[refusal for _ in request.proposals])
         return ClaimReply(verdicts=[self._judge_one(p) for p in request.proposals])
 
-    async def take_release(self, request: ReleaseRequest) -> ReleaseReply:
+    async def handle_release(self, request: ReleaseRequest) -> ReleaseReply:
         """Answer `RELEASE`."""
         self._memory.remove(request.request, request.incarnation)
         return ReleaseReply()
@@ -133,13 +133,13 @@
         """Whether this entry, in this life, is the claimant."""
         return claim.incarnation == self._incarnation
 
-    def is_gone(self, claim: Claim) -> bool:
+    def has_claimant_left(self, claim: Claim) -> bool:
         """Whether the claimant can send nothing any more."""
         return not self._members.is_member(claim.incarnation)
 
-    async def take(
-        self, request: RequestId, place: Place, *, after: Claim | None = None
-    ) -> Taking:
+    async def acquire(
+        self, request: RequestId, place: Place, *, void_claim: Claim | None = None
+    ) -> ClaimResult:
         """Try to claim `request` for `place`.
 
         Parameters
@@ -154,9 +154,9 @@
         supersedes = Incarnation("")
         held = self._memory.find(request)
         if held is not None and held.incarnation != self._incarnation:
-            if after is None or held != after:
-                return Taking(outcome=TakingOutcome.FOLLOW, claim=held)
-            if self.is_gone(held):
+            if void_claim is None or held != void_claim:
+                return ClaimResult(outcome=ClaimOutcome.FOLLOW, claim=held)
+            if self.has_claimant_left(held):
                 supersedes = held.incarnation
             else:
                 consent = await self._ask_claimant(held, request, place)
@@ -215,9 +215,9 @@
         ):
             # Nothing was ever sent under a claim of ours that was not completed.
             self._memory.remove(request, self._incarnation)
-        return self._memory.judge(proposal)
+        return self._memory.decide(proposal)
 
-    def _refusal(self, request: RequestId) -> Taking | None:
+    def _refusal(self, request: RequestId) -> ClaimResult | None:
         if not self._members.is_joined:
             return _unknown("this entry has not joined yet")
         if not self._members.is_confirmed:
@@ -232,7 +232,7 @@
 
     async def _ask_claimant(
         self, held: Claim, request: RequestId, place: Place
-    ) -> Taking | None:
+    ) -> ClaimResult | None:
         """Ask the claimant itself; None if it gave the request up."""
         claim = Claim(
             request=request,
@@ -243,17 +243,17 @@
         )
         verdict = await self._courier(held.entry).ask(Proposal(claim=claim))
         if verdict is None:
-            return Taking(outcome=TakingOutcome.FOLLOW, claim=held)
+            return ClaimResult(outcome=ClaimOutcome.FOLLOW, claim=held)
         if verdict.verdict is Verdict.NOT_MEMBER:
             self._members.leave()
             return _unknown("this entry has to join anew")
         if verdict.taken is not None:
             if verdict.taken.incarnation != self._incarnation:
                 self._memory.put(verdict.taken)
-            return Taking(outcome=TakingOutcome.FOLLOW, claim=verdict.taken)
+            return ClaimResult(outcome=ClaimOutcome.FOLLOW, claim=verdict.taken)
         return None
 
-    async def _complete(self, claim: Claim, supersedes: Incarnation) -> Taking:
+    async def _complete(self, claim: Claim, supersedes: Incarnation) -> ClaimResult:
         rival: Claim | None = None
         for _ in range(_MAX_ROUNDS):
             verdict_by_entry = await self._ask_all(claim, supersedes)
@@ -274,7 +274,7 @@
                 await self._clock.sleep(_RACE_PAUSE)
         assert rival is not None
         await self._yield_to(claim, rival)
-        return Taking(outcome=TakingOutcome.FOLLOW, claim=rival)
+        return ClaimResult(outcome=ClaimOutcome.FOLLOW, claim=rival)
 
     def _must_yield_to(self, rival: Claim) -> bool:
         """Of two incomplete claims the one of the lower name goes on.
@@ -294,7 +294,7 @@
 
     async def _finish(
         self, claim: Claim, verdicts: list[ClaimVerdict | None]
-    ) -> Taking:
+    ) -> ClaimResult:
         complete = replace(claim, is_complete=True)
         is_unanimous = bool(verdicts) and all(v is not None for v in verdicts)
         if not is_unanimous:
@@ -302,9 +302,9 @@
             if refusal is not None:
                 return refusal
         self._memory.put(complete)
-        return Taking(outcome=TakingOutcome.MINE, claim=complete)
+        return ClaimResult(outcome=ClaimOutcome.MINE, claim=complete)
 
-    async def _write(self, claim: Claim) -> Taking | None:
+    async def _write(self, claim: Claim) -> ClaimResult | None:
         """Write the claim to the table; None once it is there.
 
         This decides where a member cannot be reached. That member, cut off or
@@ -322,7 +322,7 @@
                 return _unknown(f"a member is out of reach, and {error}")
         return _unknown("a member is out of reach, and the table does not answer")
 
-    async def _write_row(self, key: str, claim: Claim) -> Taking | None:
+    async def _write_row(self, key: str, claim: Claim) -> ClaimResult | None:
         found = await self._table.get(key)
         version = ABSENT if found is None else found.version
         if found is not None:
@@ -332,7 +332,7 @@
                 and earlier.attempt >= claim.attempt
             ):
                 self._memory.put(earlier)
-                return Taking(outcome=TakingOutcome.FOLLOW, claim=earlier)
+                return ClaimResult(outcome=ClaimOutcome.FOLLOW, claim=earlier)
         own_row = Check(
             key=MEMBER_PREFIX + self._entry, version=self._members.row_version
         )
@@ -342,13 +342,13 @@
             clock=self._clock,
         )
         if isinstance(outcome, Success):
-            self._members.note_written(key, outcome.unwrap()[key])
+            self._members.record_row(key, outcome.unwrap()[key])
             return None
         rows = {row.key: row for row in outcome.failure().rows}
         if key in rows:
             rival = rows[key].decode(Claim)
             self._memory.put(rival)
-            return Taking(outcome=TakingOutcome.FOLLOW, claim=rival)
+            return ClaimResult(outcome=ClaimOutcome.FOLLOW, claim=rival)
         self._members.leave()
         return _unknown("this entry has to join anew")
 
@@ -366,10 +366,10 @@
                 nursery.start_soon(ask, entry)
         return verdict_by_entry
 
-    def _courier(self, entry: EntryId) -> Courier:
+    def _courier(self, entry: EntryId) -> ProposalBatcher:
         courier = self._courier_by_entry.get(entry)
         if courier is None:
-            courier = Courier(
+            courier = ProposalBatcher(
                 entry=entry,
                 incarnation=self._incarnation,
                 members=self._members,
@@ -388,10 +388,10 @@
     return max(taken, key=lambda c: (c.is_complete, c.attempt), default=None)
 
 
-def _unknown(reason: str) -> Taking:
+def _unknown(reason: str) -> ClaimResult:
     """Say that an earlier attempt with the key may have run.
 
     This attempt was not run, but a caller that repeats a key asks about the key:
     "not run" would be false if another entry had run it.
     """
-    return Taking(outcome=TakingOutcome.UNKNOWN, reason=reason)
+    return ClaimResult(outcome=ClaimOutcome.UNKNOWN, reason=reason)
--- a/coltsfoottray/daemons/entry.py
+++ b/coltsfoottray/daemons/entry.py
@@ -109,7 +109,7 @@
             silence=timedelta(seconds=timing.silence_s),
         )
         self.kernel.register(REGISTRY, self.registry)
-        self.handlers.add(WATCH, self.registry.watch)
+        self.handlers.add(WATCH, self.registry.handle_watch)
         # Fed by the entry lease, which reads the rows anyway; not started.
         self.directory = EntryDirectory(
             table=self.table,
--- a/coltsfoottray/leases/entry.py
+++ b/coltsfoottray/leases/entry.py
@@ -102,4 +102,4 @@
                 log_event("lease:entry-lapsed", row=row.key)
         lapsed_keys = {row.key for row in lapsed}
         live = [row for row in rows if row.key not in lapsed_keys]
-        self._directory.put([row.decode(EntryRecord) for row in live])
+        self._directory.replace_all([row.decode(EntryRecord) for row in live])
--- a/coltsfoottray/membership/entries.py
+++ b/coltsfoottray/membership/entries.py
@@ -18,7 +18,7 @@
 
 ENTRY_PREFIX = "entry/"
 # Between readings until the first entry is known.
-FIRST_INTERVAL = timedelta(milliseconds=250)
+INITIAL_INTERVAL = timedelta(milliseconds=250)
 
 
 class EntryRecord(msgspec.Struct, frozen=True, kw_only=True):
@@ -64,7 +64,7 @@
         task_status.started()
         while True:
             is_known = self._is_read and bool(self.record_by_id)
-            await self._clock.sleep(self._interval if is_known else FIRST_INTERVAL)
+            await self._clock.sleep(self._interval if is_known else INITIAL_INTERVAL)
             await self.refresh()
 
     async def refresh(self) -> None:
@@ -74,9 +74,9 @@
         except TableUnavailable as error:
             log_event("membership:entries-unread", error=str(error))
             return
-        self.put([row.decode(EntryRecord) for row in rows])
+        self.replace_all([row.decode(EntryRecord) for row in rows])
 
-    def put(self, records: Sequence[EntryRecord]) -> None:
+    def replace_all(self, records: Sequence[EntryRecord]) -> None:
         """Take `records` as all the entries there are."""
         self._is_read = True
         self.record_by_id = {record.entry: record for record in records}
--- a/coltsfoottray/membership/registry.py
+++ b/coltsfoottray/membership/registry.py
@@ -21,7 +21,7 @@
     """One daemon: what it last said, and when (monotonic)."""
 
     announcement: Announcement
-    heard_at: timedelta
+    last_heard: timedelta
     lists_version: ListVersion = NO_LISTS
 
 
@@ -51,15 +51,15 @@
         self._member_by_id: dict[DaemonId, Member] = {}
         self._changed = trio.Event()
 
-    async def watch(self, request: WatchRequest) -> WatchReply:
+    async def handle_watch(self, request: WatchRequest) -> WatchReply:
         """Answer `WATCH`: take the announcement in, then hold for news."""
-        self.hear(request.announcement, request.lists_version)
+        self.update(request.announcement, request.lists_version)
         lists = None
         with trio.move_on_after(request.hold_s):
             lists = await self._holder.wait_newer(request.lists_version)
         return WatchReply(incarnation=self._incarnation, lists=lists)
 
-    def hear(
+    def update(
         self, announcement: Announcement, lists_version: ListVersion = NO_LISTS
     ) -> None:
         """Take `announcement` in, unless it is of an earlier incarnation.
@@ -90,7 +90,7 @@
         else:
             self._member_by_id[announcement.daemon] = Member(
                 announcement=announcement,
-                heard_at=self._clock.elapsed(),
+                last_heard=self._clock.elapsed(),
                 lists_version=lists_version,
             )
         self._changed.set()
@@ -102,7 +102,7 @@
         return [
             member
             for _, member in sorted(self._member_by_id.items())
-            if member.announcement.role is role and member.heard_at >= oldest
+            if member.announcement.role is role and member.last_heard >= oldest
         ]
 
     def find(self, daemon: DaemonId) -> Member | None:
--- a/coltsfoottray/requests/claimed.py
+++ b/coltsfoottray/requests/claim_follower.py
@@ -12,14 +12,14 @@
 from coltsfoottray.requests.remote import AttendantClient
 from coltsfoottray.types import RequestId
 
-__all__ = ["ClaimFollower", "Followed"]
+__all__ = ["ClaimFollower", "FollowResult"]
 
 PROBE_AFTER = timedelta(seconds=2)
 _PAUSE = timedelta(milliseconds=50)
 
 
 @dataclass(frozen=True, kw_only=True)
-class Followed:
+class FollowResult:
     """What came of a claim.
 
     Parameters
@@ -32,7 +32,7 @@
     """
 
     reply: RunReply | None = None
-    nothing: Claim | None = None
+    void_claim: Claim | None = None
 
 
 class ClaimFollower:
@@ -47,14 +47,14 @@
 
     async def follow(
         self, request: RequestId, claim: Claim, *, deadline: timedelta
-    ) -> Followed:
+    ) -> FollowResult:
         """Wait for the outcome of `claim` until `deadline` (monotonic)."""
         reason = "no answer"
         while True:
             left = deadline - self._clock.elapsed()
             if left <= timedelta(0):
                 reply = RunReply(outcome=RunOutcome.UNKNOWN, reason=reason)
-                return Followed(reply=reply)
+                return FollowResult(reply=reply)
             claim = self._claims.find(request) or claim
             try:
                 reply = await self._look(request, claim, left)
@@ -63,11 +63,11 @@
                 await self._clock.sleep(_PAUSE)
                 continue
             if reply.outcome in (RunOutcome.ANSWERED, RunOutcome.UNKNOWN):
-                return Followed(reply=reply)
+                return FollowResult(reply=reply)
             if reply.outcome is RunOutcome.RUNNING:
                 reason = "it still runs"
                 continue
-            return Followed(nothing=claim)
+            return FollowResult(void_claim=claim)
 
     async def _look(
         self, request: RequestId, claim: Claim, left: timedelta
@@ -80,7 +80,7 @@
         """
         if not claim.place.attendant:
             return RunReply(outcome=RunOutcome.NOT_RUN, reason="sent nowhere")
-        if self._claims.is_gone(claim) or self._claims.is_own(claim):
+        if self._claims.has_claimant_left(claim) or self._claims.is_own(claim):
             reply = await self._attendants.cancel(claim.place, request, claim.attempt)
             if reply.outcome is not RunOutcome.RUNNING:
                 return reply
--- a/coltsfoottray/requests/dispatcher.py
+++ b/coltsfoottray/requests/dispatcher.py
@@ -8,13 +8,13 @@
 
 import trio
 
-from coltsfoottray.claims import Claim, Claims, TakingOutcome
+from coltsfoottray.claims import Claim, ClaimOutcome, Claims
 from coltsfoottray.clock import Clock, as_microseconds
 from coltsfoottray.errors import CommunicationError
 from coltsfoottray.explain import Journal, RunnerUp, Verb
 from coltsfoottray.http import HttpResponse, Outcome, Problem
 from coltsfoottray.lists import ListHolder
-from coltsfoottray.requests.claimed import PROBE_AFTER, ClaimFollower
+from coltsfoottray.requests.claim_follower import PROBE_AFTER, ClaimFollower
 from coltsfoottray.requests.messages import Place, RunOutcome, RunReply, RunRequest
 from coltsfoottray.requests.remote import AttendantClient
 from coltsfoottray.routing import Router
@@ -33,7 +33,7 @@
 
 # Refusals beyond this many places mean that the service is full.
 MAX_PLACES = 4
-NOWHERE = Place(
+NO_PLACE = Place(
     attendant=AttendantId(DaemonId("")),
     incarnation=Incarnation(""),
     address=Address(host="", port=0),
@@ -107,7 +107,7 @@
     async def dispatch(self, request: CallerRequest) -> HttpResponse:
         """Return the final answer to `request`."""
         if not request.is_keyed:
-            sent = await self._send_around(request, after=None)
+            sent = await self._send_around(request, void_claim=None)
             assert isinstance(sent, HttpResponse)
             return sent
         earlier = self._pending_by_id.get(request.request)
@@ -131,7 +131,7 @@
 
     async def _dispatch_keyed(self, request: CallerRequest) -> HttpResponse:
         """Send the request, or follow whoever has claimed it, until settled."""
-        after: Claim | None = None
+        void_claim: Claim | None = None
         claim = self._claims.find(request.request)
         if claim is not None and self._is_unsent(claim):
             claim = None
@@ -142,8 +142,8 @@
                 )
                 if followed.reply is not None:
                     return self._as_answer(request, followed.reply)
-                after = followed.nothing
-            sent = await self._send_around(request, after=after)
+                void_claim = followed.void_claim
+            sent = await self._send_around(request, void_claim=void_claim)
             if isinstance(sent, HttpResponse):
                 return sent
             claim = sent
@@ -160,7 +160,7 @@
         return self._unknown(request, f"earlier attempt: {reply.reason}")
 
     async def _send_around(
-        self, request: CallerRequest, *, after: Claim | None
+        self, request: CallerRequest, *, void_claim: Claim | None
     ) -> HttpResponse | Claim:
         """Send `request` to one place after another until it is settled.
 
@@ -178,13 +178,15 @@
             tried.add(place)
             attempt = as_microseconds(self._clock.now())
             if request.is_keyed:
-                taking = await self._claims.take(request.request, place, after=after)
-                if taking.outcome is TakingOutcome.UNKNOWN:
+                taking = await self._claims.acquire(
+                    request.request, place, void_claim=void_claim
+                )
+                if taking.outcome is ClaimOutcome.UNKNOWN:
                     return self._unknown(request, taking.reason)
                 assert taking.claim is not None
-                if taking.outcome is TakingOutcome.FOLLOW:
+                if taking.outcome is ClaimOutcome.FOLLOW:
                     return taking.claim
-                after = None
+                void_claim = None
                 attempt = taking.claim.attempt
             reply = await self._run_at(place, request, attempt)
             if reply.outcome is RunOutcome.ANSWERED:
@@ -195,7 +197,7 @@
             if reply.is_final:
                 break
             await self._catch_up_lists(reply)
-        return await self._refuse(request, reason, after)
+        return await self._refuse(request, reason, void_claim)
 
     def _choose(self, request: CallerRequest, tried: set[Place]) -> Place | None:
         candidate_by_place = self._table.candidates(request.kind, skip=tried)
@@ -307,7 +309,7 @@
         return request.deadline - self._clock.elapsed()
 
     async def _refuse(
-        self, request: CallerRequest, reason: str, after: Claim | None
+        self, request: CallerRequest, reason: str, void_claim: Claim | None
     ) -> HttpResponse | Claim:
         """Refuse as not run, on the proof of every place tried.
 
@@ -317,10 +319,12 @@
         if request.is_keyed:
             held = self._claims.find(request.request)
             if held is None or not self._claims.is_own(held) or not held.is_complete:
-                taking = await self._claims.take(request.request, NOWHERE, after=after)
-                if taking.outcome is TakingOutcome.UNKNOWN:
+                taking = await self._claims.acquire(
+                    request.request, NO_PLACE, void_claim=void_claim
+                )
+                if taking.outcome is ClaimOutcome.UNKNOWN:
                     return self._unknown(request, taking.reason)
-                if taking.outcome is TakingOutcome.FOLLOW:
+                if taking.outcome is ClaimOutcome.FOLLOW:
                     assert taking.claim is not None
                     return taking.claim
             await self._claims.release(request.request)
--- a/coltsfoottray/requests/messages.py
+++ b/coltsfoottray/requests/messages.py
@@ -22,7 +22,7 @@
     RequestId,
 )
 
-__all__ = ["Place", "RunOutcome", "RunReply", "RunRequest", "read_int"]
+__all__ = ["Place", "RunOutcome", "RunReply", "RunRequest", "parse_int_header"]
 
 
 class RunOutcome(enum.Enum):
@@ -64,7 +64,7 @@
     header_by_name: Headers = field(default_factory=dict)
     body: bytes = b""
 
-    def as_http(self, incarnation: Incarnation) -> HttpRequest:
+    def to_http(self, incarnation: Incarnation) -> HttpRequest:
         """Return the message to the attendant living as `incarnation`."""
         header_by_name = {
             **self.header_by_name,
@@ -84,16 +84,18 @@
         )
 
     @staticmethod
-    def of_http(message: HttpRequest) -> RunRequest:
+    def from_http(message: HttpRequest) -> RunRequest:
         """Return the request in `message`."""
         header = message.header_by_name
         return RunRequest(
             request=RequestId(_required(header, "x-request")),
-            attempt=read_int(header, "x-attempt"),
+            attempt=parse_int_header(header, "x-attempt"),
             customer=CustomerId(_required(header, "x-customer")),
             kind=Kind(_required(header, "x-kind")),
-            lists_version=ListVersion(read_int(header, "x-lists-version")),
-            remaining=timedelta(milliseconds=read_int(header, "x-remaining-ms")),
+            lists_version=ListVersion(parse_int_header(header, "x-lists-version")),
+            remaining=timedelta(
+                milliseconds=parse_int_header(header, "x-remaining-ms")
+            ),
             header_by_name=header,
             body=message.body,
         )
@@ -120,7 +122,7 @@
     load: LoadReport | None = None
     lists_version: ListVersion = NO_LISTS
 
-    def as_http(self) -> HttpResponse:
+    def to_http(self) -> HttpResponse:
         """Return the message to the entry."""
         response = self.response or HttpResponse(status=503)
         header_by_name = {
@@ -137,7 +139,7 @@
         )
 
     @staticmethod
-    def of_http(message: HttpResponse) -> RunReply:
+    def from_http(message: HttpResponse) -> RunReply:
         """Return the reply in `message`; one without a known outcome is `UNKNOWN`."""
         header = dict(message.header_by_name)
         outcome = header.pop("x-outcome", "")
@@ -169,7 +171,7 @@
     return value
 
 
-def read_int(header: Headers, name: str) -> int:
+def parse_int_header(header: Headers, name: str) -> int:
     """Return the whole number in the header `name`."""
     value = _required(header, name)
     try:
--- a/coltsfoottray/requests/remote.py
+++ b/coltsfoottray/requests/remote.py
@@ -27,9 +27,9 @@
         self, place: Place, request: RunRequest, *, timeout: timedelta
     ) -> RunReply:
         """Start `request` at `place` and return its outcome."""
-        message = request.as_http(place.incarnation)
+        message = request.to_http(place.incarnation)
         response = await self._transport.send(place.address, message, timeout=timeout)
-        return RunReply.of_http(response)
+        return RunReply.from_http(response)
 
     async def fetch(
         self, place: Place, request: RequestId, *, wait: timedelta
@@ -68,4 +68,4 @@
         response = await self._transport.send(
             place.address, message, timeout=wait + CONTROL_TIMEOUT
         )
-        return RunReply.of_http(response)
+        return RunReply.from_http(response)
--- a/coltsfoottray/routing/table.py
+++ b/coltsfoottray/routing/table.py
@@ -36,7 +36,7 @@
         """Return the instances that take new work, by place."""
         found: dict[Place, Candidate] = {}
         for member in self._registry.members(Role.UPSTREAM):
-            place = as_place(member)
+            place = place_of(member)
             if not member.announcement.is_draining and place not in skip:
                 candidate = self._as_candidate(place, member, kind)
                 if candidate.in_flight < candidate.connections:
@@ -72,12 +72,12 @@
         )
 
     def _forget_gone(self) -> None:
-        present = {as_place(m) for m in self._registry.members(Role.UPSTREAM)}
+        present = {place_of(m) for m in self._registry.members(Role.UPSTREAM)}
         for place in set(self._seen_by_place) - present:
             del self._seen_by_place[place]
 
 
-def as_place(member: Member) -> Place:
+def place_of(member: Member) -> Place:
     """Return where `member` can be reached, in its present life."""
     announcement = member.announcement
     return Place(
--- a/coltsfoottray/upstream/attendant.py
+++ b/coltsfoottray/upstream/attendant.py
@@ -12,7 +12,12 @@
 from coltsfoottray.lists import ListHolder
 from coltsfoottray.logs import log_event
 from coltsfoottray.membership import LoadReport
-from coltsfoottray.requests.messages import RunOutcome, RunReply, RunRequest, read_int
+from coltsfoottray.requests.messages import (
+    RunOutcome,
+    RunReply,
+    RunRequest,
+    parse_int_header,
+)
 from coltsfoottray.types import Address, Incarnation, Kind, RequestId
 from coltsfoottray.upstream.ledger import Execution, ExecutionLedger, ExecutionState
 from coltsfoottray.upstream.slots import SlotGate
@@ -76,7 +81,7 @@
             response=reply.response,
             load=self.load(),
             lists_version=self._holder.current.version,
-        ).as_http()
+        ).to_http()
 
     async def drain(self) -> None:
         """Take nothing new, and return once nothing is in flight.
@@ -97,7 +102,7 @@
                 outcome=RunOutcome.UNKNOWN, reason="the attendant restarted"
             )
         if message.method == "DELETE":
-            attempt = read_int(message.header_by_name, "x-attempt")
+            attempt = parse_int_header(message.header_by_name, "x-attempt")
             return _as_reply(self._ledger.tombstone(request, attempt))
         if message.method == "GET":
             return await self._fetch(request, message.query.get("wait_ms", "0"))
@@ -114,7 +119,7 @@
         return _as_reply(execution)
 
     async def _run(self, message: HttpRequest) -> RunReply:
-        request = RunRequest.of_http(message)
+        request = RunRequest.from_http(message)
         if message.header_by_name.get("x-incarnation") != self._incarnation:
             # Nothing of this message was run, but an earlier send of the same
             # id may have been, by the former self.
--- a/properties/planted.py
+++ b/properties/planted.py
@@ -10,7 +10,7 @@
 
 from msgspec.structs import replace
 
-from coltsfoottray.claims import Claim, Claims, Taking, TakingOutcome
+from coltsfoottray.claims import Claim, ClaimOutcome, ClaimResult, Claims
 from coltsfoottray.jobs.api import JobAnswer, JobApi, Verdict
 from coltsfoottray.jobs.model import JobId
 from coltsfoottray.leases import LeaseObserver
@@ -47,7 +47,7 @@
 def claims_without_asking() -> Iterator[None]:
     """Let every entry take every claim without asking anybody."""
 
-    async def take(self: Claims, request: Any, place: Any, **_: Any) -> Taking:
+    async def acquire(self: Claims, request: Any, place: Any, **_: Any) -> ClaimResult:
         claim = Claim(
             request=request,
             entry=self._entry,
@@ -56,9 +56,9 @@
             attempt=1,
             is_complete=True,
         )
-        return Taking(outcome=TakingOutcome.MINE, claim=claim)
+        return ClaimResult(outcome=ClaimOutcome.MINE, claim=claim)
 
-    with mock.patch.object(Claims, "take", take):
+    with mock.patch.object(Claims, "acquire", acquire):
         yield
 
 
