--- a/coltsfoottray/requests/__init__.py
+++ b/coltsfoottray/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Callers' requests at an entry: from admission to the final answer."""
+"""Handling of callers' requests at an entry, from admission to the final answer."""
 
 from __future__ import annotations
 
--- a/coltsfoottray/requests/claim_follower.py
+++ b/coltsfoottray/requests/claim_follower.py
@@ -1,4 +1,4 @@
-"""Following a request that is claimed already, to what came of it."""
+"""Determination of the outcome of a request that is already claimed."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 __all__ = ["ClaimFollower", "FollowResult"]
 
 PROBE_AFTER = timedelta(seconds=2)
-_PAUSE = timedelta(milliseconds=50)
+_RETRY_INTERVAL = timedelta(milliseconds=50)
 
 
 @dataclass(frozen=True, kw_only=True)
 class FollowResult:
-    """What came of a claim.
+    """The outcome of a claimed request, or the claim if it is void.
 
     Parameters
     ----------
     reply : RunReply, optional
-        The outcome, where the claim's place has one.
-    nothing : Claim, optional
-        The claim itself, where it has come to nothing: the place will not run
-        the request, and the claimant is gone or may be asked.
+        The outcome, if the claim's place has one.
+    void_claim : Claim, optional
+        The claim, if its place will not run the request. Another entry may then
+        supersede it: the claimant has left, or can be asked for its consent.
     """
 
     reply: RunReply | None = None
@@ -36,7 +36,7 @@
 
 
 class ClaimFollower:
-    """Finds out what came of a claim, without running anything."""
+    """Determines the outcome of a claimed request, without running it."""
 
     def __init__(
         self, *, claims: Claims, attendants: AttendantClient, clock: Clock
@@ -48,42 +48,42 @@
     async def follow(
         self, request: RequestId, claim: Claim, *, deadline: timedelta
     ) -> FollowResult:
-        """Wait for the outcome of `claim` until `deadline` (monotonic)."""
+        """Return the outcome of `claim`, waiting until `deadline` (monotonic)."""
         reason = "no answer"
         while True:
-            left = deadline - self._clock.elapsed()
-            if left <= timedelta(0):
+            remaining = deadline - self._clock.elapsed()
+            if remaining <= timedelta(0):
                 reply = RunReply(outcome=RunOutcome.UNKNOWN, reason=reason)
                 return FollowResult(reply=reply)
             claim = self._claims.find(request) or claim
             try:
-                reply = await self._look(request, claim, left)
+                reply = await self._query(request, claim, remaining)
             except CommunicationError as error:
                 reason = str(error)
-                await self._clock.sleep(_PAUSE)
+                await self._clock.sleep(_RETRY_INTERVAL)
                 continue
             if reply.outcome in (RunOutcome.ANSWERED, RunOutcome.UNKNOWN):
                 return FollowResult(reply=reply)
             if reply.outcome is RunOutcome.RUNNING:
-                reason = "it still runs"
+                reason = "still running"
                 continue
             return FollowResult(void_claim=claim)
 
-    async def _look(
-        self, request: RequestId, claim: Claim, left: timedelta
+    async def _query(
+        self, request: RequestId, claim: Claim, remaining: timedelta
     ) -> RunReply:
-        """Ask the claim's place.
+        """Return the reply of the claim's place.
 
-        Where the claimant is gone, or is this entry itself in an earlier try,
-        the id is cancelled there first: a message that is still on its way must
-        not start it after it was sent elsewhere.
+        If the claimant has left, or the claim is from an earlier attempt of this
+        entry, the id is cancelled first: a message still in transit must not
+        start the request after it was sent to another place.
         """
         if not claim.place.attendant:
-            return RunReply(outcome=RunOutcome.NOT_RUN, reason="sent nowhere")
+            return RunReply(outcome=RunOutcome.NOT_RUN, reason="not sent anywhere")
         if self._claims.has_claimant_left(claim) or self._claims.is_own(claim):
             reply = await self._attendants.cancel(claim.place, request, claim.attempt)
             if reply.outcome is not RunOutcome.RUNNING:
                 return reply
         return await self._attendants.fetch(
-            claim.place, request, wait=min(left, PROBE_AFTER)
+            claim.place, request, wait=min(remaining, PROBE_AFTER)
         )
--- a/coltsfoottray/requests/messages.py
+++ b/coltsfoottray/requests/messages.py
@@ -1,4 +1,4 @@
-"""What entries and the attendants of upstreams say to each other."""
+"""Messages between entries and the attendants of upstreams."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class RunOutcome(enum.Enum):
-    """What an attendant says of a request id."""
+    """The state of a request id, as an attendant reports it."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
@@ -36,7 +36,7 @@
 
 
 class Place(msgspec.Struct, frozen=True, kw_only=True):
-    """One life of one attendant."""
+    """One incarnation of an attendant."""
 
     attendant: AttendantId
     incarnation: Incarnation
@@ -45,14 +45,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RunRequest:
-    """A caller's request on its way to an upstream.
+    """A caller's request, as an entry sends it to an attendant.
 
     Parameters
     ----------
     attempt : int
-        Rises with each sending of the same id.
+        Increases each time the same id is sent.
     remaining : timedelta
-        How long the caller still waits.
+        Time until the caller's deadline.
     """
 
     request: RequestId
@@ -65,7 +65,7 @@
     body: bytes = b""
 
     def to_http(self, incarnation: Incarnation) -> HttpRequest:
-        """Return the message to the attendant living as `incarnation`."""
+        """Return the HTTP request to the attendant of that `incarnation`."""
         header_by_name = {
             **self.header_by_name,
             "x-request": self.request,
@@ -88,10 +88,10 @@
         """Return the request in `message`."""
         header = message.header_by_name
         return RunRequest(
-            request=RequestId(_required(header, "x-request")),
+            request=RequestId(_require_header(header, "x-request")),
             attempt=parse_int_header(header, "x-attempt"),
-            customer=CustomerId(_required(header, "x-customer")),
-            kind=Kind(_required(header, "x-kind")),
+            customer=CustomerId(_require_header(header, "x-customer")),
+            kind=Kind(_require_header(header, "x-kind")),
             lists_version=ListVersion(parse_int_header(header, "x-lists-version")),
             remaining=timedelta(
                 milliseconds=parse_int_header(header, "x-remaining-ms")
@@ -103,16 +103,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RunReply:
-    """An attendant's answer about one request id.
+    """An attendant's reply about one request id.
 
     Parameters
     ----------
     reason : str
-        Why not, where the outcome is not `ANSWERED`.
+        Why there is no answer, if the outcome is not `ANSWERED`.
     is_final : bool
-        Whether another place would refuse for the same reason.
+        Whether any other place would refuse for the same reason.
     lists_version : ListVersion
-        The lists in force at the attendant.
+        Version of the lists in force at the attendant.
     """
 
     outcome: RunOutcome
@@ -123,7 +123,7 @@
     lists_version: ListVersion = NO_LISTS
 
     def to_http(self) -> HttpResponse:
-        """Return the message to the entry."""
+        """Return the HTTP response to the entry."""
         response = self.response or HttpResponse(status=503)
         header_by_name = {
             **response.header_by_name,
@@ -140,7 +140,7 @@
 
     @staticmethod
     def from_http(message: HttpResponse) -> RunReply:
-        """Return the reply in `message`; one without a known outcome is `UNKNOWN`."""
+        """Return the reply in `message`, `UNKNOWN` if it has no known outcome."""
         header = dict(message.header_by_name)
         outcome = header.pop("x-outcome", "")
         reason = header.pop("x-reason", "")
@@ -164,17 +164,17 @@
         )
 
 
-def _required(header: Headers, name: str) -> str:
+def _require_header(header: Headers, name: str) -> str:
     value = header.get(name)
     if not value:
-        raise InputError(field=name, value=value, expected="a header with a value")
+        raise InputError(field=name, value=value, expected="a non-empty header")
     return value
 
 
 def parse_int_header(header: Headers, name: str) -> int:
-    """Return the whole number in the header `name`."""
-    value = _required(header, name)
+    """Return the integer in the header `name`."""
+    value = _require_header(header, name)
     try:
         return int(value)
     except ValueError as error:
-        raise InputError(field=name, value=value, expected="a whole number") from error
+        raise InputError(field=name, value=value, expected="an integer") from error
--- a/coltsfoottray/requests/remote.py
+++ b/coltsfoottray/requests/remote.py
@@ -1,4 +1,4 @@
-"""An entry's calls to the attendants of upstreams."""
+"""Client with which an entry calls the attendants of upstreams."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 
 __all__ = ["AttendantClient"]
 
-# A call that answers at once; what is longer than this is a lost message.
+# An attendant answers control calls at once, so a message without an answer
+# within this time is lost.
 CONTROL_TIMEOUT = timedelta(seconds=1)
 
 
 class AttendantClient:
     """Runs, fetches and cancels requests at an attendant.
 
-    Each method raises `CommunicationError` where no whole reply came.
+    Each method raises `CommunicationError` if no complete reply arrives.
     """
 
     def __init__(self, *, transport: HttpTransport) -> None:
@@ -34,20 +35,20 @@
     async def fetch(
         self, place: Place, request: RequestId, *, wait: timedelta
     ) -> RunReply:
-        """Return the outcome of `request`, waiting for it for up to `wait`."""
+        """Return the outcome of `request`, waiting for it up to `wait`."""
         target = f"/run?wait_ms={int(wait.total_seconds() * 1000)}"
-        return await self._ask(place, request, "GET", target, wait)
+        return await self._send_control(place, request, "GET", target, wait)
 
     async def cancel(self, place: Place, request: RequestId, attempt: int) -> RunReply:
-        """Cancel `request` up to `attempt` unless it has started.
+        """Cancel the attempts of `request` up to `attempt`, unless it has started.
 
-        The outcome is `NOT_RUN` if it is cancelled.
+        The outcome is `NOT_RUN` if the request is cancelled.
         """
-        return await self._ask(
+        return await self._send_control(
             place, request, "DELETE", "/run", timedelta(0), attempt=attempt
         )
 
-    async def _ask(
+    async def _send_control(
         self,
         place: Place,
         request: RequestId,
