--- a/coltsfoottray/claims/batcher.py
+++ b/coltsfoottray/claims/batcher.py
@@ -1,4 +1,4 @@
-"""Carrying proposals to one member: one task, one call at a time."""
+"""Batching of proposals to one member, with one call in flight at a time."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
 
 __all__ = ["ProposalBatcher"]
 
-# Longer than a slow scheduler, shorter than a caller's patience: past it the
-# table decides instead.
+# Longer than scheduling delays of a member, shorter than callers' deadlines. After
+# it the table decides instead of the member.
 CLAIM_TIMEOUT = timedelta(milliseconds=500)
-# How long a member that did not answer is taken to be out of reach.
-SILENT_PAUSE = timedelta(seconds=1)
+# How long a member that did not answer is treated as unreachable.
+UNREACHABLE_DURATION = timedelta(seconds=1)
 
 
 @dataclass(kw_only=True)
-class _Waiting:
+class _PendingProposal:
     proposal: Proposal
     verdict: ClaimVerdict | None = None
     done: trio.Event = field(default_factory=trio.Event)
 
 
 class ProposalBatcher:
-    """Gathers proposals to one member while a call to it is under way.
+    """Collects proposals to one member while a call to it is in flight.
 
-    At rest each proposal is a call of its own; under load one call carries as
-    many as have gathered, so that the cost for each falls.
+    An idle batcher sends each proposal in a call of its own. Under load one call
+    carries all that are pending, which lowers the cost of each.
     """
 
     def __init__(
@@ -57,32 +57,32 @@
         self._members = members
         self._peers = peers
         self._clock = clock
-        self._silent_until = timedelta(0)
-        self._waiting: list[_Waiting] = []
+        self._unreachable_until = timedelta(0)
+        self._pending: list[_PendingProposal] = []
         self._arrived = trio.Event()
 
-    async def ask(self, proposal: Proposal) -> ClaimVerdict | None:
-        """Return the member's verdict, None if it cannot be reached."""
-        if self._clock.elapsed() < self._silent_until:
+    async def propose(self, proposal: Proposal) -> ClaimVerdict | None:
+        """Return the member's verdict, None if the member is unreachable."""
+        if self._clock.elapsed() < self._unreachable_until:
             return None
-        waiting = _Waiting(proposal=proposal)
-        self._waiting.append(waiting)
+        pending = _PendingProposal(proposal=proposal)
+        self._pending.append(pending)
         self._arrived.set()
-        await waiting.done.wait()
-        return waiting.verdict
+        await pending.done.wait()
+        return pending.verdict
 
     async def run(self) -> None:
-        """Carry proposals until cancelled."""
+        """Send proposals until cancelled."""
         while True:
             await self._arrived.wait()
             self._arrived = trio.Event()
-            batch, self._waiting = self._waiting, []
-            verdicts = await self._carry([each.proposal for each in batch])
-            for index, waiting in enumerate(batch):
-                waiting.verdict = verdicts[index] if verdicts else None
-                waiting.done.set()
+            batch, self._pending = self._pending, []
+            verdicts = await self._send([each.proposal for each in batch])
+            for index, pending in enumerate(batch):
+                pending.verdict = verdicts[index] if verdicts else None
+                pending.done.set()
 
-    async def _carry(self, proposals: list[Proposal]) -> list[ClaimVerdict] | None:
+    async def _send(self, proposals: list[Proposal]) -> list[ClaimVerdict] | None:
         address = self._members.address_of(self._entry)
         if address is None:
             return None
@@ -93,7 +93,7 @@
             )
         except CommunicationError as error:
             log_event("claims:unreachable", entry=self._entry, error=str(error))
-            # A paused member costs one request its time-out, not every one.
-            self._silent_until = self._clock.elapsed() + SILENT_PAUSE
+            # Only one call to a paused member waits for the time-out, not each one.
+            self._unreachable_until = self._clock.elapsed() + UNREACHABLE_DURATION
             return None
         return reply.verdicts
--- a/coltsfoottray/claims/service.py
+++ b/coltsfoottray/claims/service.py
@@ -1,4 +1,4 @@
-"""Taking a claim: every member records it, or the table does."""
+"""Acquisition of claims, which every member or the table must record."""
 
 from __future__ import annotations
 
@@ -46,13 +46,13 @@
 
 __all__ = ["ClaimOutcome", "ClaimResult", "Claims"]
 
-_TABLE_WAIT = timedelta(seconds=1)
-_RACE_PAUSE = timedelta(milliseconds=5)
+_TABLE_TIMEOUT = timedelta(seconds=1)
+_CONFLICT_RETRY_INTERVAL = timedelta(milliseconds=5)
 _MAX_ROUNDS = 20
 
 
 class ClaimOutcome(enum.Enum):
-    """What came of trying to take a claim."""
+    """Outcome of an attempt to acquire a claim."""
 
     MINE = "mine"
     FOLLOW = "follow"
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ClaimResult:
-    """The outcome, with the claim to follow or the reason."""
+    """The outcome, with the acquired claim, the claim to follow, or the reason."""
 
     outcome: ClaimOutcome
     claim: Claim | None = None
@@ -69,13 +69,13 @@
 
 
 class Claims(Service):
-    """Takes and releases claims to keyed requests.
+    """Acquires and releases claims to keyed requests.
 
-    Nothing is sent anywhere until the claim that names the place is complete:
+    A request is sent only after the claim that names its place is complete:
     recorded by every other member, of which there is at least one, or written
-    to the table under the condition that this entry is still a member. Two
-    entries can therefore never both send the same key, and after a crash what
-    was sent, and where, is known to somebody.
+    to the table on condition that this entry is still a member. Two entries can
+    therefore never both send the same key, and after a crash another member or
+    the table still knows where the request was sent.
     """
 
     def __init__(
@@ -96,8 +96,8 @@
         self._peers = peers
         self._table = table
         self._clock = clock
-        self._taking: set[RequestId] = set()
-        self._courier_by_entry: dict[EntryId, ProposalBatcher] = {}
+        self._in_progress: set[RequestId] = set()
+        self._batcher_by_entry: dict[EntryId, ProposalBatcher] = {}
         self._nursery: trio.Nursery | None = None
 
     def add_handlers(self, handlers: CallHandlers) -> None:
@@ -114,27 +114,27 @@
             await trio.sleep_forever()
 
     async def handle_claim(self, request: ClaimRequest) -> ClaimReply:
-        """Answer `CLAIM`."""
+        """Answer `CLAIM`: decide on each proposal."""
         if not self._members.is_member(request.incarnation):
             refusal = ClaimVerdict(verdict=Verdict.NOT_MEMBER)
             return ClaimReply(verdicts=[refusal for _ in request.proposals])
-        return ClaimReply(verdicts=[self._judge_one(p) for p in request.proposals])
+        return ClaimReply(verdicts=[self._decide(p) for p in request.proposals])
 
     async def handle_release(self, request: ReleaseRequest) -> ReleaseReply:
-        """Answer `RELEASE`."""
+        """Answer `RELEASE`: remove the claim."""
         self._memory.remove(request.request, request.incarnation)
         return ReleaseReply()
 
     def find(self, request: RequestId) -> Claim | None:
-        """Return the claim to `request` that is in memory."""
+        """Return the claim to `request` in memory, None without one."""
         return self._memory.find(request)
 
     def is_own(self, claim: Claim) -> bool:
-        """Whether this entry, in this life, is the claimant."""
+        """Whether this incarnation of this entry is the claimant."""
         return claim.incarnation == self._incarnation
 
     def has_claimant_left(self, claim: Claim) -> bool:
-        """Whether the claimant can send nothing any more."""
+        """Whether the claimant is no longer a member, and so can send nothing."""
         return not self._members.is_member(claim.incarnation)
 
     async def acquire(
@@ -144,9 +144,9 @@
 
         Parameters
         ----------
-        after : Claim, optional
-            A claim that has come to nothing: its place has proved that it will
-            not run the request.
+        void_claim : Claim, optional
+            An earlier claim that may be superseded, because its place has proved
+            that it will not run the request.
         """
         refusal = self._refusal(request)
         if refusal is not None:
@@ -159,9 +159,9 @@
             if self.has_claimant_left(held):
                 supersedes = held.incarnation
             else:
-                consent = await self._ask_claimant(held, request, place)
-                if consent is not None:
-                    return consent
+                denial = await self._request_consent(held, request, place)
+                if denial is not None:
+                    return denial
                 supersedes = held.incarnation
         claim = Claim(
             request=request,
@@ -171,14 +171,14 @@
             attempt=self._next_attempt(held),
         )
         self._memory.put(claim)
-        self._taking.add(request)
+        self._in_progress.add(request)
         try:
             return await self._complete(claim, supersedes)
         finally:
-            self._taking.discard(request)
+            self._in_progress.discard(request)
 
     async def release(self, request: RequestId) -> None:
-        """Give up a request that was certainly not run, so that anybody may."""
+        """Release a request that was certainly not run, for any entry to claim."""
         held = self._memory.find(request)
         if held is None or held.incarnation != self._incarnation:
             return
@@ -191,29 +191,29 @@
             try:
                 await self._peers.call(address, RELEASE, message, timeout=CLAIM_TIMEOUT)
             except CommunicationError as error:
-                # Whoever is asked for this key next will ask this entry, and
-                # learn then that the claim is given up.
+                # An entry that is sent this key next asks this entry for consent,
+                # and learns then that the claim was released.
                 log_event("claims:not-released", entry=entry, error=str(error))
 
     def _next_attempt(self, held: Claim | None) -> int:
-        """Return a number above the held claim's, and above those long released.
+        """Return a number above that of `held` and of claims no longer in memory.
 
-        The calendar serves because an error of it does no harm: an attendant
-        refuses a number that is too low, which is a true "not run".
+        Wall-clock time suffices, because an error of the clock does no harm: an
+        attendant refuses a number that is too low, and "not run" is then true.
         """
         now_us = as_microseconds(self._clock.now())
         return now_us if held is None else max(now_us, held.attempt + 1)
 
-    def _judge_one(self, proposal: Proposal) -> ClaimVerdict:
+    def _decide(self, proposal: Proposal) -> ClaimVerdict:
         request = proposal.claim.request
         held = self._memory.find(request)
         if (
             held is not None
             and held.incarnation == self._incarnation
             and not held.is_complete
-            and request not in self._taking
+            and request not in self._in_progress
         ):
-            # Nothing was ever sent under a claim of ours that was not completed.
+            # Nothing was sent under a claim of this entry that was never completed.
             self._memory.remove(request, self._incarnation)
         return self._memory.decide(proposal)
 
@@ -221,19 +221,19 @@
         if not self._members.is_joined:
             return _unknown("this entry has not joined yet")
         if not self._members.is_confirmed:
-            return _unknown("this entry has been without the table for too long")
+            return _unknown("this entry has not reached the table for too long")
         held = self._memory.find(request)
         is_own = held is not None and held.incarnation == self._incarnation
         if self._members.is_in_quarantine and not is_own:
-            return _unknown("all entries were lost a short while ago")
+            return _unknown("all entries were lost recently")
         if held is None and self._memory.is_full:
-            return _unknown("as many keys as can be remembered are in use")
+            return _unknown("the maximum number of keys is in use")
         return None
 
-    async def _ask_claimant(
+    async def _request_consent(
         self, held: Claim, request: RequestId, place: Place
     ) -> ClaimResult | None:
-        """Ask the claimant itself; None if it gave the request up."""
+        """Ask the claimant to give up the request; return None if it consents."""
         claim = Claim(
             request=request,
             entry=self._entry,
@@ -241,12 +241,12 @@
             place=place,
             attempt=self._next_attempt(held),
         )
-        verdict = await self._courier(held.entry).ask(Proposal(claim=claim))
+        verdict = await self._batcher(held.entry).propose(Proposal(claim=claim))
         if verdict is None:
             return ClaimResult(outcome=ClaimOutcome.FOLLOW, claim=held)
         if verdict.verdict is Verdict.NOT_MEMBER:
             self._members.leave()
-            return _unknown("this entry has to join anew")
+            return _unknown("this entry must rejoin")
         if verdict.taken is not None:
             if verdict.taken.incarnation != self._incarnation:
                 self._memory.put(verdict.taken)
@@ -256,30 +256,31 @@
     async def _complete(self, claim: Claim, supersedes: Incarnation) -> ClaimResult:
         rival: Claim | None = None
         for _ in range(_MAX_ROUNDS):
-            verdict_by_entry = await self._ask_all(claim, supersedes)
+            verdict_by_entry = await self._propose_to_all(claim, supersedes)
             verdicts = list(verdict_by_entry.values())
             if any(v is not None and v.verdict is Verdict.NOT_MEMBER for v in verdicts):
                 self._members.leave()
-                return _unknown("this entry has to join anew")
+                return _unknown("this entry must rejoin")
             rival = _find_rival(verdicts)
             if rival is None:
                 return await self._finish(claim, verdicts)
             verdict = verdict_by_entry.get(rival.entry)
             if verdict is not None and verdict.verdict is Verdict.GRANTED:
-                # The rival has given the request up; others do not know it yet.
+                # The rival has released the request; other members may not know yet.
                 supersedes = rival.incarnation
             elif self._must_yield_to(rival):
                 break
             else:
-                await self._clock.sleep(_RACE_PAUSE)
+                await self._clock.sleep(_CONFLICT_RETRY_INTERVAL)
         assert rival is not None
         await self._yield_to(claim, rival)
         return ClaimResult(outcome=ClaimOutcome.FOLLOW, claim=rival)
 
     def _must_yield_to(self, rival: Claim) -> bool:
-        """Of two incomplete claims the one of the lower name goes on.
+        """Whether `rival` has priority over this entry's claim.
 
-        The order is total, so of any number that race one is left.
+        Of incomplete claims, that of the entry with the lowest name has priority.
+        The order is total, so exactly one of any number of rivals goes on.
         """
         return (
             rival.is_complete
@@ -305,22 +306,22 @@
         return ClaimResult(outcome=ClaimOutcome.MINE, claim=complete)
 
     async def _write(self, claim: Claim) -> ClaimResult | None:
-        """Write the claim to the table; None once it is there.
+        """Write the claim to the table; return None if that succeeds.
 
-        This decides where a member cannot be reached. That member, cut off or
-        paused, may be claiming the same key: it reaches nobody either, comes
-        here too, and one of the two writes fails.
+        The table decides if a member is unreachable. That member, cut off or
+        paused, may be claiming the same key. It reaches no other member either,
+        so it writes to the table too, and one of the two writes fails.
 
-        The claim stays in memory as incomplete if the outcome is uncertain, so
-        that a later one counts as newer than the row that may yet appear.
+        If the outcome of the write is uncertain, the claim stays in memory as
+        incomplete, so that a later one gets a higher number than a late row.
         """
         key = CLAIM_PREFIX + claim.request
-        with trio.move_on_after(_TABLE_WAIT.total_seconds()):
+        with trio.move_on_after(_TABLE_TIMEOUT.total_seconds()):
             try:
                 return await self._write_row(key, claim)
             except TableUnavailable as error:
-                return _unknown(f"a member is out of reach, and {error}")
-        return _unknown("a member is out of reach, and the table does not answer")
+                return _unknown(f"a member is unreachable, and {error}")
+        return _unknown("a member is unreachable, and the table does not answer")
 
     async def _write_row(self, key: str, claim: Claim) -> ClaimResult | None:
         found = await self._table.get(key)
@@ -350,46 +351,46 @@
             self._memory.put(rival)
             return ClaimResult(outcome=ClaimOutcome.FOLLOW, claim=rival)
         self._members.leave()
-        return _unknown("this entry has to join anew")
+        return _unknown("this entry must rejoin")
 
-    async def _ask_all(
+    async def _propose_to_all(
         self, claim: Claim, supersedes: Incarnation
     ) -> dict[EntryId, ClaimVerdict | None]:
         proposal = Proposal(claim=claim, supersedes=supersedes)
         verdict_by_entry: dict[EntryId, ClaimVerdict | None] = {}
 
-        async def ask(entry: EntryId) -> None:
-            verdict_by_entry[entry] = await self._courier(entry).ask(proposal)
+        async def propose(entry: EntryId) -> None:
+            verdict_by_entry[entry] = await self._batcher(entry).propose(proposal)
 
         async with trio.open_nursery() as nursery:
             for entry in self._members.others():
-                nursery.start_soon(ask, entry)
+                nursery.start_soon(propose, entry)
         return verdict_by_entry
 
-    def _courier(self, entry: EntryId) -> ProposalBatcher:
-        courier = self._courier_by_entry.get(entry)
-        if courier is None:
-            courier = ProposalBatcher(
+    def _batcher(self, entry: EntryId) -> ProposalBatcher:
+        batcher = self._batcher_by_entry.get(entry)
+        if batcher is None:
+            batcher = ProposalBatcher(
                 entry=entry,
                 incarnation=self._incarnation,
                 members=self._members,
                 peers=self._peers,
                 clock=self._clock,
             )
-            self._courier_by_entry[entry] = courier
+            self._batcher_by_entry[entry] = batcher
             assert self._nursery is not None
-            self._nursery.start_soon(courier.run)
-        return courier
+            self._nursery.start_soon(batcher.run)
+        return batcher
 
 
 def _find_rival(verdicts: list[ClaimVerdict | None]) -> Claim | None:
-    """Return the claim that stands in the way, a complete one before others."""
+    """Return the conflicting claim, preferring a complete one, then the newest."""
     taken = [v.taken for v in verdicts if v is not None and v.taken is not None]
     return max(taken, key=lambda c: (c.is_complete, c.attempt), default=None)
 
 
 def _unknown(reason: str) -> ClaimResult:
-    """Say that an earlier attempt with the key may have run.
+    """Return a result that leaves open whether the key has run.
 
     This attempt was not run, but a caller that repeats a key asks about the key:
     "not run" would be false if another entry had run it.
