--- a/coltsfoottray/claims/__init__.py
+++ b/coltsfoottray/claims/__init__.py
@@ -1,4 +1,4 @@
-"""Which entry may send a keyed request, and to which place."""
+"""Claims, which decide which entry may send a keyed request, and to which place."""
 
 from __future__ import annotations
 
--- a/coltsfoottray/claims/members.py
+++ b/coltsfoottray/claims/members.py
@@ -1,4 +1,4 @@
-"""The entries that must record every claim, and joining them."""
+"""Membership of the entries that must record every claim."""
 
 from __future__ import annotations
 
@@ -33,41 +33,42 @@
 __all__ = ["ClaimMembers"]
 
 _SYNC_TIMEOUT = timedelta(seconds=2)
-_JOIN_PAUSE = timedelta(milliseconds=100)
+_JOIN_RETRY_INTERVAL = timedelta(milliseconds=100)
 
 
 @dataclass(frozen=True, kw_only=True)
 class _Expiry:
     version: int
-    at: timedelta
+    expires_at: timedelta
 
 
 class ClaimMembers(Service):
-    """Joins the members, keeps their set, and leaves.
+    """Joins the members, tracks their set, and leaves it.
 
     Parameters
     ----------
     describe : callable
         Returns the entry's own row.
     retention : timedelta
-        How long claims are remembered.
+        How long claims are kept.
     outage_grace : timedelta
-        How long the entry serves without having seen its row.
+        How long the entry serves keyed requests without having read its row.
     interval : timedelta
-        Between readings of the members' rows.
+        Time between reads of the members' rows.
 
     Notes
     -----
-    A row `member/NAME` in the table says whose memory counts. An entry serves
-    keyed requests only as a member: after every other member has given it all
-    its claims and asks it from then on. A member whose row is gone, or is of a
-    later life, is asked no more; its row goes after its lease has lapsed.
-
-    If all members vanish at once, so do claims that nobody else holds. Who
-    joins then finds a row that nobody answers for, and is in quarantine for as
-    long as those members, if they are only cut off, may go on, and then for the
-    retention time: a key it does not know gets the answer that its outcome is
-    unknown, because it may have run.
+    The rows `member/NAME` in the table name the members, which must all record
+    a claim. An entry serves keyed requests only as a member: after every other
+    member has sent it all its claims, and consults it from then on. A member
+    whose row was deleted, or is of a later incarnation, is no longer consulted.
+    The row of a member is deleted after its lease has lapsed.
+
+    If all members are lost at once, so are the claims that only they hold. The
+    next entry that joins finds a row whose member does not answer. It is in
+    quarantine for as long as those members may go on serving if they are only
+    cut off, and then for the retention time: for a key that it does not know it
+    answers that the outcome is unknown, because the request may have run.
     """
 
     def __init__(
@@ -111,25 +112,25 @@
                 if not self.is_joined:
                     await self._join()
                 else:
-                    await self._tick()
+                    await self._refresh()
             except TableUnavailable as error:
                 log_event("claims:members-unread", error=str(error))
-            pause = self._interval if self.is_joined else _JOIN_PAUSE
+            pause = self._interval if self.is_joined else _JOIN_RETRY_INTERVAL
             await self._clock.sleep(pause)
 
     @property
     def is_confirmed(self) -> bool:
-        """Whether the table has shown the entry's own row recently enough.
+        """Whether the entry has read its own row in the table recently enough.
 
-        Cut off from the table, an entry cannot know whether it was removed and
-        others serve the same keys. It goes on for `outage_grace`; who finds no
-        member left to ask waits for longer than that.
+        An entry that is cut off from the table cannot know whether it was removed
+        and others serve the same keys. It goes on for `outage_grace`; an entry
+        that joins and reaches no member waits for longer than that.
         """
         return self._clock.elapsed() - self._confirmed_at < self._outage_grace
 
     @property
     def is_in_quarantine(self) -> bool:
-        """Whether a key that is not in memory may nevertheless have run."""
+        """Whether a key without a claim in memory may nevertheless have run."""
         until = self._quarantine_until
         return until is not None and self._clock.elapsed() < until
 
@@ -138,19 +139,19 @@
         return sorted(self._member_by_entry)
 
     def address_of(self, entry: EntryId) -> Address | None:
-        """Return where a member is reached, None if it is one no more."""
+        """Return the address of a member, None if `entry` is not a member."""
         member = self._member_by_entry.get(entry)
         return None if member is None else member.claims
 
     def is_member(self, incarnation: Incarnation) -> bool:
-        """Whether that life of an entry is one whose claims count."""
+        """Whether `incarnation` is that of this entry or of another member."""
         return incarnation == self.own_row().incarnation or any(
             member.incarnation == incarnation
             for member in self._member_by_entry.values()
         )
 
     def leave(self) -> None:
-        """Stop serving keyed requests until joined anew."""
+        """Stop serving keyed requests until the entry has rejoined."""
         if self.is_joined:
             log_event("claims:must-rejoin", entry=self.own_row().entry)
             # Others may claim without this entry until it has joined again.
@@ -158,36 +159,36 @@
             self.is_joined = False
 
     def own_row(self) -> MemberRow:
-        """Return the entry's own row, as it is or is to be written."""
+        """Return the entry's own row, whether or not it is written yet."""
         return self._describe()
 
     def record_row(self, key: str, version: int) -> None:
-        """Remember to delete a claim's row after the retention time."""
-        at = self._clock.elapsed() + self._retention
-        self._expiry_by_key[key] = _Expiry(version=version, at=at)
+        """Schedule the deletion of a claim's row after the retention time."""
+        expires_at = self._clock.elapsed() + self._retention
+        self._expiry_by_key[key] = _Expiry(version=version, expires_at=expires_at)
 
     async def handle_sync(self, request: SyncRequest) -> SyncReply:
-        """Answer `SYNC`: ask the new member from now on, and tell it all."""
+        """Answer `SYNC`: consult the new member from now on, and return all claims."""
         self._member_by_entry[request.member.entry] = request.member
-        left = timedelta(0)
+        remaining = timedelta(0)
         if self._quarantine_until is not None:
-            left = self._quarantine_until - self._clock.elapsed()
+            remaining = self._quarantine_until - self._clock.elapsed()
         return SyncReply(
             is_member=self.is_joined,
             has_gap=self._has_gap,
-            quarantine_s=max(0.0, left.total_seconds()),
+            quarantine_s=max(0.0, remaining.total_seconds()),
             claims=self._memory.claims(),
         )
 
     async def _join(self) -> None:
-        """Write the row, then get every other member's claims.
+        """Write the row, then get the claims of every other member.
 
-        The row comes first: of two that join at once each finds the other. It has
-        to wait for this entry's lease: one that joined while its first lease could
-        not be written was taken for gone by the next that joined, and that one
-        refused new keys as if all entries had been lost.
+        The row is written first, so that two entries which join at the same time
+        find each other. Joining waits for this entry's lease: the next entry that
+        joins treats a member without a lease as lost, and would refuse new keys as
+        if all entries had been lost.
         """
-        asked_at = self._clock.elapsed()
+        requested_at = self._clock.elapsed()
         if not await self._has_lease():
             log_event("claims:waits-for-lease", entry=self.own_row().entry)
             return
@@ -196,8 +197,8 @@
             return
         has_memory = False
         while True:
-            rows = await self._remove_gone(await self._table.scan(MEMBER_PREFIX))
-            replies = [await self._ask_sync(row) for row in rows]
+            rows = await self._remove_lapsed(await self._table.scan(MEMBER_PREFIX))
+            replies = [await self._request_sync(row) for row in rows]
             answered = [reply for reply in replies if reply is not None]
             has_memory = any(reply.is_member for reply in answered)
             self._has_gap |= any(reply.has_gap for reply in answered)
@@ -209,18 +210,18 @@
             grace = self._outage_grace * (1 + CLOCK_RATE_MARGIN)
             self._start_quarantine(grace + self._retention)
         self._has_gap = False
-        self._confirmed_at = asked_at
+        self._confirmed_at = requested_at
         self.is_joined = True
         log_event("claims:joined", members=self.others(), has_memory=has_memory)
 
     async def _has_lease(self) -> bool:
-        """Whether the table holds a lease of this life of the entry."""
+        """Whether the table holds a lease of this incarnation of the entry."""
         entries = await self._table.scan(ENTRY_PREFIX)
         own = self.own_row().incarnation
         return any(row.decode(EntryRecord).incarnation == own for row in entries)
 
     async def _write_row(self) -> None:
-        """Write the member row, or find that it is there."""
+        """Write the member row, unless the table has it already."""
         key = MEMBER_PREFIX + self.own_row().entry
         found = await self._table.get(key)
         self.row_version = ABSENT
@@ -228,7 +229,7 @@
             if found.decode(MemberRow) == self.own_row():
                 self.row_version = found.version
                 return
-            # An earlier life of this entry left without giving its claims on.
+            # An earlier incarnation of this entry left without passing on its claims.
             self._has_gap = True
         version = ABSENT if found is None else found.version
         value = self.own_row()
@@ -238,8 +239,8 @@
         if isinstance(outcome, Success):
             self.row_version = outcome.unwrap()[key]
 
-    async def _ask_sync(self, row: MemberRow) -> SyncReply | None:
-        """Return a member's claims, None if it does not answer."""
+    async def _request_sync(self, row: MemberRow) -> SyncReply | None:
+        """Merge a member's claims and return its reply, None if it does not answer."""
         request = SyncRequest(member=self.own_row())
         try:
             reply = await self._peers.call(
@@ -254,37 +255,37 @@
             self._start_quarantine(timedelta(seconds=reply.quarantine_s))
         return reply
 
-    async def _tick(self) -> None:
-        """Drop members whose rows are gone, and remove rows of gone entries."""
-        asked_at = self._clock.elapsed()
+    async def _refresh(self) -> None:
+        """Update the members from their rows, and delete rows that have expired."""
+        requested_at = self._clock.elapsed()
         rows = await self._table.scan(MEMBER_PREFIX)
         own = [r for r in rows if r.key == MEMBER_PREFIX + self.own_row().entry]
         if not own or own[0].version != self.row_version:
             self.leave()
             return
-        self._confirmed_at = asked_at
-        present = await self._remove_gone(rows)
+        self._confirmed_at = requested_at
+        present = await self._remove_lapsed(rows)
         incarnations = {row.incarnation for row in present}
-        left = [
+        departed = [
             entry
             for entry, member in self._member_by_entry.items()
             if member.incarnation not in incarnations
         ]
-        if left:
-            # A claim the departed made through the table, because this entry
-            # could not be reached, is known to nobody else.
+        if departed:
+            # Claims that a departed member wrote to the table, because this entry
+            # was unreachable, may be known to no other member.
             self._memory.merge(await self._table_claims())
-        for entry in left:
+        for entry in departed:
             if self._member_by_entry[entry].incarnation not in incarnations:
                 del self._member_by_entry[entry]
         await self._sweep()
 
-    async def _remove_gone(self, rows: Sequence[Row]) -> list[MemberRow]:
-        """Remove rows of entries without a lease; return the other members'.
+    async def _remove_lapsed(self, rows: Sequence[Row]) -> list[MemberRow]:
+        """Delete rows of entries without a lease; return the other members' rows.
 
-        The entries' rows are read after the members': an entry writes its own
-        in the opposite order, so that no member seen here lacks a lease only
-        because it has just come.
+        The leases are read after the members' rows. An entry writes its lease
+        before its member row, so no member read here lacks a lease only because
+        it has just joined.
         """
         entries = await self._table.scan(ENTRY_PREFIX)
         live = {row.decode(EntryRecord).incarnation for row in entries}
@@ -305,7 +306,7 @@
         return present
 
     async def _table_claims(self) -> list[Claim]:
-        """Return the claims in the table; from now on this entry sweeps them too."""
+        """Return the claims in the table, and schedule the deletion of their rows."""
         rows = await self._table.scan(CLAIM_PREFIX)
         for row in rows:
             self.record_row(row.key, row.version)
@@ -314,10 +315,10 @@
     async def _sweep(self) -> None:
         """Delete rows of claims past the retention time."""
         now = self._clock.elapsed()
-        old = {k: e for k, e in self._expiry_by_key.items() if e.at < now}
-        for key, expiry in old.items():
+        expired = {k: e for k, e in self._expiry_by_key.items() if e.expires_at < now}
+        for key, expiry in expired.items():
             put = Put(key=key, version=expiry.version)
-            # Another entry may have been first, or the row be newer: both well.
+            # Fails if another entry deleted the row or it is newer; both are fine.
             await self._table.commit(Transaction(puts=[put]))
             del self._expiry_by_key[key]
 
--- a/coltsfoottray/claims/memory.py
+++ b/coltsfoottray/claims/memory.py
@@ -1,4 +1,4 @@
-"""The claims one entry remembers."""
+"""The claims that one entry keeps in memory."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 
 class ClaimMemory:
-    """Holds claims by request, for the retention time and up to a bound.
+    """Holds claims by request, for the retention time and up to a maximum number.
 
     Parameters
     ----------
     retention : timedelta
-        How long a claim is held. A caller that repeats a key later than this
-        is treated as new, which docs/PROMISES.md says.
+        How long a claim is held. A key that is repeated later than this counts
+        as new, as docs/PROMISES.md states.
     max_claims : int
-        Past it new keyed requests are refused: forgetting one early could let
-        it run twice.
+        At this number new keyed requests are refused: if a claim were dropped
+        early, its request could run twice.
     """
 
     def __init__(
@@ -48,8 +48,8 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no new key can be remembered."""
-        self._forget_old()
+        """Whether no further claim can be held."""
+        self._remove_expired()
         return len(self._held_by_request) >= self._max_claims
 
     def find(self, request: RequestId) -> Claim | None:
@@ -58,32 +58,32 @@
         return None if held is None else held.claim
 
     def put(self, claim: Claim) -> None:
-        """Hold `claim`, in place of any other to the same request."""
-        # Taken out first, so that insertion order stays the order of age.
+        """Hold `claim`, replacing any other claim to the same request."""
+        # Removed first, so that insertion order remains the order of age.
         self._held_by_request.pop(claim.request, None)
         held = _Held(claim=claim, since=self._clock.elapsed())
         self._held_by_request[claim.request] = held
 
     def merge(self, claims: Iterable[Claim]) -> None:
-        """Take in another's claims; of two to a request the newer stays."""
+        """Add another entry's claims; of two to the same request keep the newer."""
         for claim in claims:
             held = self.find(claim.request)
             if held is None or held.attempt < claim.attempt:
                 self.put(claim)
 
     def remove(self, request: RequestId, incarnation: Incarnation) -> None:
-        """Drop the claim to `request` if it is that claimant's."""
+        """Remove the claim to `request` if `incarnation` made it."""
         held = self.find(request)
         if held is not None and held.incarnation == incarnation:
             del self._held_by_request[request]
 
     def claims(self) -> list[Claim]:
         """Return every claim held."""
-        self._forget_old()
+        self._remove_expired()
         return [held.claim for held in self._held_by_request.values()]
 
     def decide(self, proposal: Proposal) -> ClaimVerdict:
-        """Record a member's claim unless another's stands in its way."""
+        """Record a member's claim unless another claimant holds the request."""
         held = self.find(proposal.claim.request)
         is_free = (
             held is None
@@ -98,7 +98,7 @@
         self.put(proposal.claim)
         return ClaimVerdict(verdict=Verdict.GRANTED)
 
-    def _forget_old(self) -> None:
+    def _remove_expired(self) -> None:
         oldest = self._clock.elapsed() - self._retention
         while self._held_by_request:
             request, held = next(iter(self._held_by_request.items()))
--- a/coltsfoottray/claims/messages.py
+++ b/coltsfoottray/claims/messages.py
@@ -1,4 +1,4 @@
-"""Claims, and what entries say to each other about them."""
+"""Claims, and the messages about them between entries."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
     Parameters
     ----------
     place : Place
-        The one place to which the request is or was sent.
+        The only place to which the request is sent under this claim.
     attempt : int
-        Of two claims the one with the higher number is the newer one.
-        Attendants know a message by it: one that is not above a cancelled
-        number never starts.
+        Number of the claim; of two claims the one with the higher number is
+        newer. An attendant never starts a message whose number is not above a
+        cancelled one.
     is_complete : bool
-        Whether every member has recorded it, or the table has. Nothing is
+        Whether every member, or the table, has recorded the claim. Nothing is
         sent before that.
     """
 
@@ -58,7 +58,7 @@
 
 
 class MemberRow(msgspec.Struct, frozen=True, kw_only=True):
-    """An entry whose memory of claims counts, and where it answers."""
+    """An entry that must record every claim, and its address for calls."""
 
     entry: EntryId
     incarnation: Incarnation
@@ -66,7 +66,7 @@
 
 
 class Verdict(enum.Enum):
-    """What one member says to a proposed claim."""
+    """Decision of one member on a proposed claim."""
 
     GRANTED = "granted"
     TAKEN = "taken"
@@ -74,13 +74,13 @@
 
 
 class Proposal(msgspec.Struct, frozen=True, kw_only=True):
-    """A claim that asks to be recorded.
+    """A claim proposed to a member for recording.
 
     Parameters
     ----------
     supersedes : Incarnation
         The claimant whose claim may be replaced: it has consented, or it is no
-        longer a member and its place has proved that it will not run.
+        longer a member and its place has proved that it will not run the request.
     """
 
     claim: Claim
@@ -88,14 +88,14 @@
 
 
 class ClaimVerdict(msgspec.Struct, frozen=True, kw_only=True):
-    """A verdict, with the claim that stands in the way."""
+    """A verdict, with the conflicting claim if there is one."""
 
     verdict: Verdict
     taken: Claim | None = None
 
 
 class ClaimRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Proposals of one entry, as many as have gathered."""
+    """A batch of proposals of one entry."""
 
     incarnation: Incarnation
     proposals: list[Proposal]
@@ -108,18 +108,18 @@
 
 
 class ReleaseRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """The claimant gives up a request that was certainly not run."""
+    """Release of the claim to a request that was certainly not run."""
 
     request: RequestId
     incarnation: Incarnation
 
 
 class ReleaseReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Nothing to tell."""
+    """An empty acknowledgement."""
 
 
 class SyncRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A new member asks to be asked from now on, and for all claims."""
+    """A joining member's request for all claims, and to be consulted from now on."""
 
     member: MemberRow
 
@@ -130,11 +130,11 @@
     Parameters
     ----------
     is_member : bool
-        Whether the replier has itself joined; one that has not proves nothing.
+        Whether the replier has joined; if not, its claims may be incomplete.
     has_gap : bool
-        Whether a replier that has not joined knows of claims that may be lost.
+        Whether the replier, not having joined, knows that claims may be lost.
     quarantine_s : float
-        How much longer the replier's memory is incomplete, in seconds.
+        How much longer the replier's claims are incomplete, in seconds.
     """
 
     is_member: bool
