--- a/coltsfoottray/membership/__init__.py
+++ b/coltsfoottray/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who is there: announcements of attendants, as entries hold them."""
+"""Membership of daemons: the entries, and the announcements sent to them."""
 
 from __future__ import annotations
 
--- a/coltsfoottray/membership/announcer.py
+++ b/coltsfoottray/membership/announcer.py
@@ -1,4 +1,4 @@
-"""A daemon announcing itself to every entry: one task for each entry."""
+"""Announcement of a daemon to every entry, with one task per entry."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 
 __all__ = ["Announcer"]
 
-# Beyond the hold, an entry's reply is late by network and scheduling alone.
+# Network and scheduling delay of an entry's reply, in addition to the hold.
 REPLY_MARGIN = timedelta(seconds=1)
 RETRY_DELAY = timedelta(milliseconds=250)
 
 
 class Announcer(Service):
-    """Holds one announcement open at each entry, and takes lists from replies.
+    """Keeps one announcement pending at each entry, and applies lists from replies.
 
     Parameters
     ----------
     describe : callable
-        Returns the daemon's announcement as of now.
+        Returns the daemon's current announcement.
     hold : timedelta
-        How long an entry may hold the call when there is no news. It bounds
-        the time to find out that a connection has gone silent.
+        How long an entry may hold the call without newer lists. It bounds the
+        time to detect that a connection has gone silent.
     skip : EntryId, optional
-        The daemon's own id, where it is an entry itself.
+        The daemon's own id, if it is itself an entry.
     """
 
     def __init__(
@@ -64,11 +64,11 @@
         async with trio.open_nursery() as nursery:
             task_status.started()
             while True:
-                self._follow_entries(nursery)
+                self._update_targets(nursery)
                 await self._directory.wait_changed()
 
     async def announce_now(self) -> None:
-        """Tell every entry at once, without waiting for the held calls."""
+        """Announce to every entry at once, without waiting for the held calls."""
         async with trio.open_nursery() as nursery:
             for record in self._targets():
                 nursery.start_soon(self._announce_once, record)
@@ -80,15 +80,17 @@
             if entry != self._skip
         ]
 
-    def _follow_entries(self, nursery: trio.Nursery) -> None:
-        wanted = {record.entry for record in self._targets()}
-        for entry in wanted - set(self._scope_by_entry):
+    def _update_targets(self, nursery: trio.Nursery) -> None:
+        targets = {record.entry for record in self._targets()}
+        for entry in targets - set(self._scope_by_entry):
             scope = self._scope_by_entry[entry] = trio.CancelScope()
-            nursery.start_soon(self._keep_announcing, entry, scope)
-        for entry in set(self._scope_by_entry) - wanted:
+            nursery.start_soon(self._announce_repeatedly, entry, scope)
+        for entry in set(self._scope_by_entry) - targets:
             self._scope_by_entry.pop(entry).cancel()
 
-    async def _keep_announcing(self, entry: EntryId, scope: trio.CancelScope) -> None:
+    async def _announce_repeatedly(
+        self, entry: EntryId, scope: trio.CancelScope
+    ) -> None:
         with scope:
             while True:
                 record = self._directory.record_by_id.get(entry)
--- a/coltsfoottray/membership/entries.py
+++ b/coltsfoottray/membership/entries.py
@@ -1,4 +1,4 @@
-"""The entries, as the table lists them."""
+"""Directory of the entries, read from the table."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 __all__ = ["ENTRY_PREFIX", "EntryDirectory", "EntryRecord"]
 
 ENTRY_PREFIX = "entry/"
-# Between readings until the first entry is known.
+# Between reads of the rows until the first entry is known.
 INITIAL_INTERVAL = timedelta(milliseconds=250)
 
 
 class EntryRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """An entry's row; it is written again at each renewal."""
+    """Row of an entry, rewritten at each renewal of its lease."""
 
     entry: EntryId
     incarnation: Incarnation
@@ -32,14 +32,14 @@
 
 
 class EntryDirectory(Service):
-    """Remembers the entries, through outages of the table too.
+    """Keeps the known entries, also during outages of the table.
 
     Parameters
     ----------
     interval : timedelta
-        Between readings of the rows.
+        Time between reads of the rows.
     seeds : sequence of Address
-        Stand for the entries until the rows have been read once.
+        Addresses of entries to use until the rows have been read once.
     """
 
     def __init__(
@@ -53,7 +53,9 @@
         self._table = table
         self._clock = clock
         self._interval = interval
-        self.record_by_id = {record.entry: record for record in map(_as_record, seeds)}
+        self.record_by_id = {
+            record.entry: record for record in map(_make_seed_record, seeds)
+        }
         self._is_read = False
         self._changed = trio.Event()
 
@@ -68,7 +70,7 @@
             await self.refresh()
 
     async def refresh(self) -> None:
-        """Read the rows once; an outage leaves the known entries in place."""
+        """Read the rows once; keep the known entries if the table is unavailable."""
         try:
             rows = await self._table.scan(ENTRY_PREFIX)
         except TableUnavailable as error:
@@ -77,19 +79,19 @@
         self.replace_all([row.decode(EntryRecord) for row in rows])
 
     def replace_all(self, records: Sequence[EntryRecord]) -> None:
-        """Take `records` as all the entries there are."""
+        """Replace all known entries by `records`."""
         self._is_read = True
         self.record_by_id = {record.entry: record for record in records}
         self._changed.set()
         self._changed = trio.Event()
 
     async def wait_changed(self) -> None:
-        """Return after the next refresh."""
+        """Wait for the next refresh."""
         await self._changed.wait()
 
 
-def _as_record(seed: Address) -> EntryRecord:
-    """Return a record under which the entry at `seed` can be announced to."""
+def _make_seed_record(seed: Address) -> EntryRecord:
+    """Return a record for announcements to the entry at `seed`."""
     return EntryRecord(
         entry=EntryId(DaemonId(f"seed {seed}")),
         incarnation=Incarnation(""),
--- a/coltsfoottray/membership/incarnation.py
+++ b/coltsfoottray/membership/incarnation.py
@@ -1,4 +1,4 @@
-"""Telling a restarted process from its former self."""
+"""Ids that distinguish a restarted process from its earlier incarnations."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def make_incarnation(clock: Clock) -> Incarnation:
-    """Return an id that sorts after those of earlier starts.
+    """Return an id that sorts after those of earlier incarnations.
 
-    The calendar gives the order and the random part keeps two starts in the
-    same microsecond apart.
+    Wall-clock time gives the order; the random part distinguishes two starts in
+    the same microsecond.
     """
     started = clock.now().strftime("%Y%m%dT%H%M%S.%f")
     return Incarnation(f"{started}-{secrets.token_hex(4)}")
--- a/coltsfoottray/membership/messages.py
+++ b/coltsfoottray/membership/messages.py
@@ -1,4 +1,4 @@
-"""What daemons tell entries about themselves, and what they get back."""
+"""Announcements of daemons to entries, and the replies."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, kw_only=True):
-    """How busy an upstream instance is.
+    """Load of an upstream instance.
 
     Parameters
     ----------
     in_flight : int
-        Requests that hold a slot or wait for one.
+        Number of requests that hold a slot or wait for one.
     service_s_by_kind : dict
-        Decayed average of the time in a slot, in seconds.
+        Exponentially decayed average of the time in a slot, in seconds.
     """
 
     slots: int
@@ -47,7 +47,7 @@
 
 
 class AttemptReport(msgspec.Struct, frozen=True, kw_only=True):
-    """One attempt as its worker's attendant knows it."""
+    """State of one attempt, as its worker's attendant reports it."""
 
     task: TaskId
     attempt: int
@@ -57,12 +57,12 @@
 
 
 class WorkerReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What a worker has, what is reserved there, and the attempts on it.
+    """Capacity, reservations and attempts of a worker.
 
     Parameters
     ----------
     term : int
-        The term of the worker's lease; 0 while nothing may be placed there.
+        Term of the worker's lease; 0 while no task may be placed there.
     """
 
     capacity: Resources
@@ -72,7 +72,7 @@
 
 
 class Announcement(msgspec.Struct, frozen=True, kw_only=True):
-    """A daemon's own account of itself."""
+    """A daemon's announcement of itself: identity, addresses and state."""
 
     daemon: DaemonId
     role: Role
@@ -88,7 +88,7 @@
 
 
 class WatchRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """An announcement that waits, up to `hold_s`, for news."""
+    """An announcement that waits up to `hold_s` seconds for newer lists."""
 
     announcement: Announcement
     lists_version: ListVersion
@@ -96,7 +96,7 @@
 
 
 class WatchReply(msgspec.Struct, frozen=True, kw_only=True):
-    """The lists, if they are newer than the asker's."""
+    """The lists, if they are newer than those of the announcing daemon."""
 
     incarnation: Incarnation
     lists: Lists | None = None
--- a/coltsfoottray/membership/registry.py
+++ b/coltsfoottray/membership/registry.py
@@ -1,4 +1,4 @@
-"""The daemons an entry has heard of."""
+"""Registry of the daemons that have announced themselves to an entry."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(kw_only=True)
 class Member:
-    """One daemon: what it last said, and when (monotonic)."""
+    """A daemon's newest announcement, and the monotonic time of its arrival."""
 
     announcement: Announcement
     last_heard: timedelta
@@ -26,14 +26,14 @@
 
 
 class Registry:
-    """Holds the newest announcement of every daemon that still speaks.
+    """Holds the newest announcement of every daemon.
 
     Parameters
     ----------
     silence : timedelta
-        A daemon not heard for this long is left out. A daemon whose connection
-        has gone silent shows in the same way, since its next announcement has
-        to arrive over a new one.
+        Time without an announcement after which a daemon no longer counts as
+        present. This also covers a daemon whose connection has gone silent,
+        because its next announcement must arrive over a new connection.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self._changed = trio.Event()
 
     async def handle_watch(self, request: WatchRequest) -> WatchReply:
-        """Answer `WATCH`: take the announcement in, then hold for news."""
+        """Answer `WATCH`: apply the announcement, then wait for newer lists."""
         self.update(request.announcement, request.lists_version)
         lists = None
         with trio.move_on_after(request.hold_s):
@@ -62,10 +62,10 @@
     def update(
         self, announcement: Announcement, lists_version: ListVersion = NO_LISTS
     ) -> None:
-        """Take `announcement` in, unless it is of an earlier incarnation.
+        """Apply `announcement`, unless it is of an earlier incarnation.
 
-        A message of a process's former self can arrive after those of the
-        restarted one; the order of incarnations keeps it out.
+        A message of an earlier incarnation can arrive after those of the restarted
+        process; the order of incarnations tells them apart.
         """
         known = self._member_by_id.get(announcement.daemon)
         if known is not None:
@@ -76,8 +76,8 @@
                 and known.announcement.is_draining
                 and not announcement.is_draining
             ):
-                # Draining is never taken back within one life of a process: an
-                # announcement overtaken on another connection must not undo it.
+                # Draining is final within one incarnation. An older announcement
+                # that arrives late on another connection must not undo it.
                 return
         if known is None or known.announcement.incarnation != announcement.incarnation:
             log_event(
@@ -97,18 +97,18 @@
         self._changed = trio.Event()
 
     def members(self, role: Role) -> list[Member]:
-        """Return those of `role` heard within the silence bound, by id."""
-        oldest = self._clock.elapsed() - self._silence
+        """Return the present members of `role`, sorted by id."""
+        min_last_heard = self._clock.elapsed() - self._silence
         return [
             member
             for _, member in sorted(self._member_by_id.items())
-            if member.announcement.role is role and member.last_heard >= oldest
+            if member.announcement.role is role and member.last_heard >= min_last_heard
         ]
 
     def find(self, daemon: DaemonId) -> Member | None:
-        """Return `daemon` if it is present, heard or silent."""
+        """Return `daemon` if it has announced itself and not left, even if silent."""
         return self._member_by_id.get(daemon)
 
     async def wait_changed(self) -> None:
-        """Return after the next announcement."""
+        """Wait for the next announcement."""
         await self._changed.wait()
