--- a/coltsfoottray/routing/__init__.py
+++ b/coltsfoottray/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choosing an upstream instance for a request."""
+"""Selection of an upstream instance for each request."""
 
 from __future__ import annotations
 
--- a/coltsfoottray/routing/common.py
+++ b/coltsfoottray/routing/common.py
@@ -1,4 +1,4 @@
-"""The base class of routing policies and the registry of their names."""
+"""Base class of the routing policies, and the registry of their names."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Candidate:
-    """An instance that may take a request, as its entry sees it.
+    """An instance that can receive a request, as the entry knows it.
 
     Parameters
     ----------
     in_flight : int
-        The entry's own requests there, and the others' by the last report.
+        Number of requests there: the entry's own, and other entries' as last reported.
     service_s : float
         Expected time in a slot for the request's kind, in seconds.
     """
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Choice:
-    """A policy's choice and the candidates it passed over."""
+    """The chosen candidate, and the candidates that were compared with it."""
 
     candidate: Candidate
     reason: str
@@ -49,9 +49,9 @@
     Parameters
     ----------
     data_centre : DataCentre
-        Where the entry is.
+        Data centre of the entry.
     random : Random
-        The source of chance, seeded by tests.
+        Random generator; tests pass a seeded one.
     """
 
     def __init__(self, *, data_centre: DataCentre, random: Random) -> None:
@@ -60,14 +60,14 @@
 
     @abc.abstractmethod
     def choose(self, kind: Kind, candidates: Sequence[Candidate]) -> Choice:
-        """Return the choice among `candidates`, of which there is one or more."""
+        """Return the choice among `candidates`, which must not be empty."""
 
 
 _router_by_name: dict[str, Callable[..., Router]] = {}
 
 
 def register_router(name: str, factory: Callable[..., Router]) -> None:
-    """Make a policy known to the settings as `name`."""
+    """Register a policy under the `name` that the settings use."""
     _router_by_name[name] = factory
 
 
--- a/coltsfoottray/routing/round_robin.py
+++ b/coltsfoottray/routing/round_robin.py
@@ -1,4 +1,4 @@
-"""The baseline: each instance in turn."""
+"""Round-robin routing, the baseline policy."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RoundRobin(Router):
-    """Takes the candidates in turn, whatever their load."""
+    """Chooses the candidates in turn, regardless of their load."""
 
     def __init__(self, *, data_centre: DataCentre, random: Random) -> None:
         super().__init__(data_centre=data_centre, random=random)
@@ -23,7 +23,7 @@
     ) -> Choice:
         candidate = candidates[self._next % len(candidates)]
         self._next += 1
-        return Choice(candidate=candidate, reason="its turn", runners_up=[])
+        return Choice(candidate=candidate, reason="next in turn", runners_up=[])
 
 
 register_router("round-robin", RoundRobin)
--- a/coltsfoottray/routing/two_choices.py
+++ b/coltsfoottray/routing/two_choices.py
@@ -1,8 +1,8 @@
-"""The lower expected latency of two candidates drawn at random.
+"""Routing to the lower expected latency of two randomly drawn candidates.
 
-Load reports are late. Taking the least loaded of all sends every entry to the
-same instance until the next report; drawing two at random keeps the entries
-apart, and comparing the two still avoids the loaded one (M. Mitzenmacher, "The
+Load reports are out of date. If every entry chose the least loaded instance, all
+would choose the same one until the next report. Drawing two at random spreads the
+entries, and comparing the two still avoids the loaded one (M. Mitzenmacher, "The
 power of two choices in randomized load balancing", IEEE TPDS 12(10), 2001).
 """
 
@@ -16,12 +16,12 @@
 
 __all__ = ["TwoChoices"]
 
-# One way between data centres is about 1 ms.
+# Round trip between data centres, at about 1 ms each way.
 REMOTE_PENALTY_S = 0.002
 
 
 class TwoChoices(Router):
-    """Draws two candidates, own data centre and free slots first."""
+    """Draws two candidates, preferring free slots and the entry's data centre."""
 
     def choose(  # noqa: D102
         self, kind: Kind, candidates: Sequence[Candidate]
@@ -43,16 +43,20 @@
         )
 
     def _preferred(self, candidates: Sequence[Candidate]) -> Sequence[Candidate]:
-        """Return the nearest group that has a free slot, else all."""
+        """Return the preferred group of candidates.
+
+        These are the candidates with a free slot in the entry's data centre if there
+        are at least two, else those with a free slot anywhere, else all.
+        """
         free = [c for c in candidates if c.in_flight < c.slots]
-        near = [c for c in free if c.data_centre == self.data_centre]
-        if len(near) > 1:
-            return near
+        local = [c for c in free if c.data_centre == self.data_centre]
+        if len(local) > 1:
+            return local
         return free or candidates
 
     def _expected_s(self, candidate: Candidate) -> float:
-        ahead = max(0, candidate.in_flight + 1 - candidate.slots)
-        wait_s = ahead / candidate.slots * candidate.service_s
+        queued = max(0, candidate.in_flight + 1 - candidate.slots)
+        wait_s = queued / candidate.slots * candidate.service_s
         is_remote = candidate.data_centre != self.data_centre
         return candidate.service_s + wait_s + (REMOTE_PENALTY_S if is_remote else 0.0)
 
