--- a/tests/requests/at_most_once.feature
+++ b/tests/requests/at_most_once.feature
@@ -1,7 +1,7 @@
 Feature: A keyed request runs in one place, and a non-idempotent one at most once
 
-  Scenario: The caller asks again at the other entry while the first attempt runs
-    # Guards against a request run twice by way of two entries.
+  Scenario: The caller repeats the key at the other entry while the first attempt runs
+    # Guards against a request run twice because two entries each send it.
     Given two entries and three instances in memory
     When "first" sends key "q1" to entry-1, which takes 500 ms to run
     And 100 ms pass
@@ -10,7 +10,7 @@
     And "q1" has run 1 time
 
   Scenario: The same key reaches both entries at the same moment
-    # Guards against two claims of one key that both stand.
+    # Guards against two entries that both hold a claim to one key.
     Given two entries and three instances in memory
     When "first" sends key "q1" to entry-1, which takes 50 ms to run
     And "again" sends key "q1" to entry-2, which takes 50 ms to run
@@ -18,7 +18,7 @@
     And "q1" has run 1 time
 
   Scenario: The first entry dies while the request runs
-    # Guards against an answer lost with the entry that knew where it runs.
+    # Guards against an answer lost with the entry that sent the request.
     Given two entries and three instances in memory
     When "first" sends key "q1" to entry-1, which takes 500 ms to run
     And 100 ms pass
@@ -27,8 +27,8 @@
     Then "again" gets the whole answer of "q1"
     And "q1" has run 1 time
 
-  Scenario: The first entry dies after its claim and before the request has left
-    # Guards against a request run elsewhere while its message is under way.
+  Scenario: The first entry dies after its claim and before its message arrives
+    # Guards against a request run elsewhere while its message is in transit.
     Given two entries and three instances in memory
     And the next message to each instance is lost
     When "first" sends key "q1" to entry-1, which takes 50 ms to run
@@ -38,12 +38,12 @@
     Then "again" gets the whole answer of "q1"
     And "q1" has run 1 time
 
-  Scenario: Messages arrive after they were given up and the request refused
-    # Guards against late messages that make a refusal untrue.
+  Scenario: Messages arrive after the request was refused
+    # Guards against a refusal as not run that a late message makes false.
     Given two entries and three instances in memory
     And the next message to each instance is late
     When "first" sends key "q1" to entry-1, which takes 50 ms to run
-    Then "first" hears that it was not run, with a time to come back
+    Then "first" is told that it was not run, with a retry-after time
     When 12000 ms pass
     Then "q1" has run 0 times
     When "again" sends key "q1" to entry-2, which takes 50 ms to run
@@ -59,14 +59,14 @@
     And "q1" has run 1 time
 
   Scenario: The attendant dies while the request runs
-    # Guards against 'not run' said of a request that may have run.
+    # Guards against 'not run' as the answer to a request that may have run.
     Given two entries and three instances in memory
     When "first" sends key "q1" to entry-1, which takes 500 ms to run
     And 100 ms pass
     And the attendant that runs "q1" is killed
-    Then "first" hears that the outcome is unknown
+    Then "first" is told that the outcome is unknown
     When "again" sends key "q1" to entry-2, which takes 500 ms to run
-    Then "again" hears that the outcome is unknown
+    Then "again" is told that the outcome is unknown
     And "q1" has run 1 time
 
   Scenario: The entries cannot reach each other
@@ -79,7 +79,7 @@
     And "q1" has run 1 time
 
   Scenario: The table is down and the entries reach each other
-    # Guards against requests refused for an outage of the table.
+    # Guards against requests refused because of an outage of the table.
     Given two entries and three instances in memory
     And the table is down
     When "first" sends key "q1" to entry-1, which takes 50 ms to run
@@ -89,15 +89,15 @@
     And "q1" has run 1 time
 
   Scenario: The table is down and the entries cannot reach each other
-    # Guards against a key run where nobody can know whether another has run it.
+    # Guards against a key run although neither a member nor the table has its claim.
     Given two entries and three instances in memory
     And entry-1 and entry-2 cannot reach each other
     And the table is down
     When "first" sends key "q1" to entry-1, which takes 50 ms to run
-    Then "first" hears that the outcome is unknown, with a time to come back
+    Then "first" is told that the outcome is unknown, with a retry-after time
     And "q1" has run 0 times
 
-  Scenario: An entry is paused in mid-request and wakes after it was replaced
+  Scenario: An entry is paused during a request and resumes after it was replaced
     # Guards against a message of a replaced entry that starts a second run.
     Given two entries and three instances in memory
     And the next message to each instance is lost
@@ -106,12 +106,12 @@
     And entry-1 is paused
     And "again" sends key "q1" to entry-2, which takes 50 ms to run
     Then "again" gets the whole answer of "q1"
-    When entry-1 wakes
+    When entry-1 resumes
     And 5000 ms pass
     Then "q1" has run 1 time
 
-  Scenario: Both entries die, and the caller asks the new ones
-    # Guards against a key run again that new entries do not know.
+  Scenario: Both entries die, and the caller repeats the key at a new one
+    # Guards against a key run again because the new entry does not know its claim.
     Given two entries and three instances in memory
     When "first" sends key "q1" to entry-1, which takes 50 ms to run
     Then "first" gets the whole answer of "q1"
@@ -119,36 +119,36 @@
     And entry-2 is killed
     And entry-3 is started and has joined
     And "again" sends key "q1" to entry-3, which takes 50 ms to run
-    Then "again" hears that the outcome is unknown, with a time to come back
+    Then "again" is told that the outcome is unknown, with a retry-after time
     And "q1" has run 1 time
 
-  Scenario: Entries cut off from the table, and a new one that has it
-    # Guards against a key run on both sides of a cut.
+  Scenario: Two entries are cut off from the table, and a new one reaches it
+    # Guards against a key run on both sides of a network partition.
     Given two entries and three instances in memory
-    And entry-1, entry-2 and instance-01 are cut off from all else
+    And entry-1, entry-2 and instance-01 are cut off from all other processes
     When 5000 ms pass
     And entry-3 is started and has joined
     And 90000 ms pass
     And "first" sends key "q1" to entry-1, which takes 50 ms to run
     And "again" sends key "q1" to entry-3, which takes 50 ms to run
-    Then "first" hears that the outcome is unknown, with a time to come back
+    Then "first" is told that the outcome is unknown, with a retry-after time
     And "again" gets the whole answer of "q1"
     And "q1" has run 1 time
 
-  Scenario: A refusal is true, and the caller may then ask anywhere
-    # Guards against a refused key that is kept from running elsewhere.
+  Scenario: A key is refused as not run, and the caller repeats it at the other entry
+    # Guards against a refusal that is false, or a claim that outlives the refusal.
     Given two entries and three instances in memory
-    And every instance refuses as if it drained
+    And every instance refuses requests as if it were draining
     When "first" sends key "q1" to entry-1, which takes 50 ms to run
-    Then "first" hears that it was not run, with a time to come back
+    Then "first" is told that it was not run, with a retry-after time
     And "q1" has run 0 times
-    When every instance takes work again
+    When every instance accepts requests again
     And "again" sends key "q1" to entry-2, which takes 50 ms to run
     Then "again" gets the whole answer of "q1"
     And "q1" has run 1 time
 
   Scenario: The entries start before the table is up
-    # Guards against an entry that joins without its lease and is taken for gone.
+    # Guards against an entry that joins without a lease and is treated as lost.
     Given two entries and three instances that start before the table is up
     When "first" sends key "q1" to entry-1, which takes 50 ms to run
     And "second" sends key "q2" to entry-2, which takes 50 ms to run
--- a/tests/steps/request_steps.py
+++ b/tests/steps/request_steps.py
@@ -1,4 +1,4 @@
-"""Steps on keyed requests in a world in memory."""
+"""Steps for keyed requests in an in-memory world."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
 
 
 @given("{one:w}-{a:d} and {two:w}-{b:d} cannot reach each other")
-def cut(context, one, a, two, b):
+def cut_link(context, one, a, two, b):
     context.world.fabric.cut.add(frozenset((f"{one}-{a}", f"{two}-{b}")))
 
 
-@given("entry-1, entry-2 and instance-01 are cut off from all else")
-def part(context):
+@given("entry-1, entry-2 and instance-01 are cut off from all other processes")
+def cut_off_group(context):
     one_side = ("entry-1", "entry-2", "instance-01")
     other_side = ("table", "entry-3", "instance-02", "instance-03")
     for one in one_side:
@@ -64,14 +64,14 @@
     context.world.cell.table.faults.is_down = False
 
 
-@given("every instance refuses as if it drained")
+@given("every instance refuses requests as if it were draining")
 def refuse_all(context):
     for daemon in context.world.cell.upstream_by_name.values():
         daemon.attendant.is_draining = True
 
 
-@when("every instance takes work again")
-def take_all(context):
+@when("every instance accepts requests again")
+def accept_all(context):
     for daemon in context.world.cell.upstream_by_name.values():
         daemon.attendant.is_draining = False
 
@@ -96,8 +96,8 @@
     context.world.fabric.faults(f"entry-{number}").pause()
 
 
-@when("entry-{number:d} wakes")
-def wake_entry(context, number):
+@when("entry-{number:d} resumes")
+def resume_entry(context, number):
     context.world.resume(f"entry-{number}")
 
 
@@ -110,7 +110,7 @@
 
 
 @when('the attendant that runs "{key}" is killed')
-def kill_runner(context, key):
+def kill_running_attendant(context, key):
     world = context.world
     running = [
         name
@@ -122,30 +122,30 @@
 
 
 @then('"{label}" gets the whole answer of "{key}"')
-def check_whole(context, label, key):
+def check_answer(context, label, key):
     answer = context.world.answer(label)
     expected = f"answer to arolwg/{key}: {key}".encode()
     assert (answer.status, answer.body) == (200, expected), answer
 
 
 @then('"{first}" and "{second}" both get the whole answer of "{key}"')
-def check_both(context, first, second, key):
-    check_whole(context, first, key)
-    check_whole(context, second, key)
+def check_both_answers(context, first, second, key):
+    check_answer(context, first, key)
+    check_answer(context, second, key)
 
 
-@then('"{label}" hears that the outcome is unknown')
+@then('"{label}" is told that the outcome is unknown')
 def check_unknown(context, label):
     _check_problem(context, label, 504, "outcome-unknown")
 
 
-@then('"{label}" hears that the outcome is unknown, with a time to come back')
+@then('"{label}" is told that the outcome is unknown, with a retry-after time')
 def check_unknown_retry(context, label):
     answer = _check_problem(context, label, 504, "outcome-unknown")
     assert int(answer.header_by_name["retry-after"]) >= 1, answer
 
 
-@then('"{label}" hears that it was not run, with a time to come back')
+@then('"{label}" is told that it was not run, with a retry-after time')
 def check_not_run(context, label):
     answer = _check_problem(context, label, 503, "refused-not-run")
     assert int(answer.header_by_name["retry-after"]) >= 1, answer
