--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -1,4 +1,4 @@
-"""A cell in memory on a virtual clock, driven step by step."""
+"""An in-memory cell on a virtual clock, driven step by step."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
                 return await function(*arguments)
             finally:
                 self._clock.autojump_threshold = math.inf
-                # What the caller reads next must not change under its hands.
+                # What the caller reads next must not change while it reads.
                 await trio.testing.wait_all_tasks_blocked()
 
         try:
@@ -75,7 +75,7 @@
             raise self._failure from None
 
     def close(self) -> None:
-        """End the loop."""
+        """Stop the trio loop and its thread."""
         if self._thread.is_alive():
             trio.from_thread.run_sync(self._stop.set, trio_token=self._token)
             self._thread.join()
@@ -105,7 +105,7 @@
         self.run(kill)
 
     def lose_worker(self, name: str) -> None:
-        """Lose a worker's VM with all on it."""
+        """Lose a worker's VM with everything on it."""
 
         async def lose() -> None:
             self.cell.lose_worker(name)
@@ -113,7 +113,7 @@
         self.run(lose)
 
     def resume(self, name: str) -> None:
-        """Let a paused process go on."""
+        """Resume a paused process."""
 
         async def resume() -> None:
             self.fabric.faults(name).resume()
@@ -138,7 +138,7 @@
         self.spawn(exchange)
 
     def ask(self, entry: str, request: HttpRequest) -> HttpResponse:
-        """Send a request and return its answer; status 0 where none came."""
+        """Send a request and return its answer, with status 0 if none arrives."""
         address = self.cell.entry_by_name[entry].describe().http
 
         async def exchange() -> HttpResponse:
@@ -180,7 +180,7 @@
         return self.ask(entry, request).status
 
     def rows(self) -> dict[str, TaskRow]:
-        """Return the task rows by the task's own id."""
+        """Return the task rows by the id that the customer gave the task."""
         found = {}
         for key, row in self.cell.table.row_by_key.items():
             if key.startswith("task/"):
@@ -189,7 +189,7 @@
         return found
 
     def answer(self, label: str) -> HttpResponse:
-        """Return the answer, letting time pass until it is there."""
+        """Return the answer, letting time pass until it has arrived."""
         self.wait_until(lambda: self.answer_by_label[label] is not None)
         answer = self.answer_by_label[label]
         assert answer is not None
@@ -198,18 +198,20 @@
     def wait_until(
         self, condition: Callable[[], bool], limit_s: float = 60, step_s: float = 0.01
     ) -> None:
-        """Let time pass until `condition`; fail after `limit_s` virtual seconds."""
+        """Let time pass until `condition` holds, or fail after `limit_s` seconds."""
 
         async def wait() -> None:
-            give_up = trio.current_time() + limit_s
+            deadline = trio.current_time() + limit_s
             while not condition():
-                assert trio.current_time() < give_up, "never happened"
+                assert trio.current_time() < deadline, (
+                    "condition not met within the time limit"
+                )
                 await trio.sleep(step_s)
 
         self.run(wait)
 
     def runs(self, key: str, customer: str = "arolwg") -> int:
-        """Return how often upstreams have begun to run `key`."""
+        """Return how often upstreams have started to run `key`."""
         return self.cell.observer.runs_by_request[f"{customer}/{key}"]
 
     async def _start_cell(self) -> None:
