--- a/coltsfoottray/claims/memory.py
+++ b/coltsfoottray/claims/memory.py
@@ -53,7 +53,7 @@
         return len(self._held_by_request) >= self._max_claims
 
     def find(self, request: RequestId) -> Claim | None:
-        """Return the claim to `request`."""
+        """Return the claim to `request`, None without one."""
         held = self._held_by_request.get(request)
         return None if held is None else held.claim
 
--- a/coltsfoottray/claims/service.py
+++ b/coltsfoottray/claims/service.py
@@ -313,7 +313,8 @@
         so it writes to the table too, and one of the two writes fails.
 
         If the outcome of the write is uncertain, the claim stays in memory as
-        incomplete, so that a later one gets a higher number than a late row.
+        incomplete. A later claim then gets a higher number than this one, whose
+        row may still appear.
         """
         key = CLAIM_PREFIX + claim.request
         with trio.move_on_after(_TABLE_TIMEOUT.total_seconds()):
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -64,7 +64,7 @@
                 return await function(*arguments)
             finally:
                 self._clock.autojump_threshold = math.inf
-                # What the caller reads next must not change while it reads.
+                # State that the caller reads next must not change meanwhile.
                 await trio.testing.wait_all_tasks_blocked()
 
         try:
