--- a/coltsfoottray/requests/__init__.py
+++ b/coltsfoottray/requests/__init__.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
+from coltsfoottray.requests.attendant_client import AttendantClient
 from coltsfoottray.requests.messages import Place, RunOutcome, RunReply, RunRequest
-from coltsfoottray.requests.remote import AttendantClient
 
 __all__ = ["AttendantClient", "Place", "RunOutcome", "RunReply", "RunRequest"]
--- a/coltsfoottray/requests/claim_follower.py
+++ b/coltsfoottray/requests/claim_follower.py
@@ -8,8 +8,8 @@
 from coltsfoottray.claims import Claim, Claims
 from coltsfoottray.clock import Clock
 from coltsfoottray.errors import CommunicationError
+from coltsfoottray.requests.attendant_client import AttendantClient
 from coltsfoottray.requests.messages import RunOutcome, RunReply
-from coltsfoottray.requests.remote import AttendantClient
 from coltsfoottray.types import RequestId
 
 __all__ = ["ClaimFollower", "FollowResult"]
--- a/coltsfoottray/requests/dispatcher.py
+++ b/coltsfoottray/requests/dispatcher.py
@@ -14,9 +14,9 @@
 from coltsfoottray.explain import Journal, RunnerUp, Verb
 from coltsfoottray.http import HttpResponse, Outcome, Problem
 from coltsfoottray.lists import ListHolder
+from coltsfoottray.requests.attendant_client import AttendantClient
 from coltsfoottray.requests.claim_follower import PROBE_AFTER, ClaimFollower
 from coltsfoottray.requests.messages import Place, RunOutcome, RunReply, RunRequest
-from coltsfoottray.requests.remote import AttendantClient
 from coltsfoottray.routing import Router
 from coltsfoottray.routing.table import RoutingTable
 from coltsfoottray.types import (
