--- a/coltsfoottray/requests/__init__.py
+++ b/coltsfoottray/requests/__init__.py
@@ -1,8 +1,8 @@
-"""Callers' requests at an entry: from admission to the final answer."""
+"""Handling of callers' requests at an entry, from admission to the final answer."""
 
 from __future__ import annotations
 
+from coltsfoottray.requests.attendant_client import AttendantClient
 from coltsfoottray.requests.messages import Place, RunOutcome, RunReply, RunRequest
-from coltsfoottray.requests.remote import AttendantClient
 
 __all__ = ["AttendantClient", "Place", "RunOutcome", "RunReply", "RunRequest"]
--- a/coltsfoottray/requests/messages.py
+++ b/coltsfoottray/requests/messages.py
@@ -1,4 +1,4 @@
-"""What entries and the attendants of upstreams say to each other."""
+"""Messages between entries and the attendants of upstreams."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     RequestId,
 )
 
-__all__ = ["Place", "RunOutcome", "RunReply", "RunRequest", "read_int"]
+__all__ = ["Place", "RunOutcome", "RunReply", "RunRequest", "parse_int_header"]
 
 
 class RunOutcome(enum.Enum):
-    """What an attendant says of a request id."""
+    """The state of a request id, as an attendant reports it."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
@@ -36,7 +36,7 @@
 
 
 class Place(msgspec.Struct, frozen=True, kw_only=True):
-    """One life of one attendant."""
+    """One incarnation of an attendant."""
 
     attendant: AttendantId
     incarnation: Incarnation
@@ -45,14 +45,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RunRequest:
-    """A caller's request on its way to an upstream.
+    """A caller's request, as an entry sends it to an attendant.
 
     Parameters
     ----------
     attempt : int
-        Rises with each sending of the same id.
+        Increases each time the same id is sent.
     remaining : timedelta
-        How long the caller still waits.
+        Time until the caller's deadline.
     """
 
     request: RequestId
@@ -64,8 +64,8 @@
     header_by_name: Headers = field(default_factory=dict)
     body: bytes = b""
 
-    def as_http(self, incarnation: Incarnation) -> HttpRequest:
-        """Return the message to the attendant living as `incarnation`."""
+    def to_http(self, incarnation: Incarnation) -> HttpRequest:
+        """Return the HTTP request to the attendant of that `incarnation`."""
         header_by_name = {
             **self.header_by_name,
             "x-request": self.request,
@@ -84,16 +84,18 @@
         )
 
     @staticmethod
-    def of_http(message: HttpRequest) -> RunRequest:
+    def from_http(message: HttpRequest) -> RunRequest:
         """Return the request in `message`."""
         header = message.header_by_name
         return RunRequest(
-            request=RequestId(_required(header, "x-request")),
-            attempt=read_int(header, "x-attempt"),
-            customer=CustomerId(_required(header, "x-customer")),
-            kind=Kind(_required(header, "x-kind")),
-            lists_version=ListVersion(read_int(header, "x-lists-version")),
-            remaining=timedelta(milliseconds=read_int(header, "x-remaining-ms")),
+            request=RequestId(_require_header(header, "x-request")),
+            attempt=parse_int_header(header, "x-attempt"),
+            customer=CustomerId(_require_header(header, "x-customer")),
+            kind=Kind(_require_header(header, "x-kind")),
+            lists_version=ListVersion(parse_int_header(header, "x-lists-version")),
+            remaining=timedelta(
+                milliseconds=parse_int_header(header, "x-remaining-ms")
+            ),
             header_by_name=header,
             body=message.body,
         )
@@ -101,16 +103,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RunReply:
-    """An attendant's answer about one request id.
+    """An attendant's reply about one request id.
 
     Parameters
     ----------
     reason : str
-        Why not, where the outcome is not `ANSWERED`.
+        Why there is no answer, if the outcome is not `ANSWERED`.
     is_final : bool
-        Whether another place would refuse for the same reason.
+        Whether any other place would refuse for the same reason.
     lists_version : ListVersion
-        The lists in force at the attendant.
+        Version of the lists in force at the attendant.
     """
 
     outcome: RunOutcome
@@ -120,8 +122,8 @@
     load: LoadReport | None = None
     lists_version: ListVersion = NO_LISTS
 
-    def as_http(self) -> HttpResponse:
-        """Return the message to the entry."""
+    def to_http(self) -> HttpResponse:
+        """Return the HTTP response to the entry."""
         response = self.response or HttpResponse(status=503)
         header_by_name = {
             **response.header_by_name,
@@ -137,8 +139,8 @@
         )
 
     @staticmethod
-    def of_http(message: HttpResponse) -> RunReply:
-        """Return the reply in `message`; one without a known outcome is `UNKNOWN`."""
+    def from_http(message: HttpResponse) -> RunReply:
+        """Return the reply in `message`, `UNKNOWN` if it has no known outcome."""
         header = dict(message.header_by_name)
         outcome = header.pop("x-outcome", "")
         reason = header.pop("x-reason", "")
@@ -162,17 +164,17 @@
         )
 
 
-def _required(header: Headers, name: str) -> str:
+def _require_header(header: Headers, name: str) -> str:
     value = header.get(name)
     if not value:
-        raise InputError(field=name, value=value, expected="a header with a value")
+        raise InputError(field=name, value=value, expected="a non-empty header")
     return value
 
 
-def read_int(header: Headers, name: str) -> int:
-    """Return the whole number in the header `name`."""
-    value = _required(header, name)
+def parse_int_header(header: Headers, name: str) -> int:
+    """Return the integer in the header `name`."""
+    value = _require_header(header, name)
     try:
         return int(value)
     except ValueError as error:
-        raise InputError(field=name, value=value, expected="a whole number") from error
+        raise InputError(field=name, value=value, expected="an integer") from error
