--- a/coltsfoottray/scheduler/grants.py
+++ b/coltsfoottray/scheduler/grants.py
@@ -1,4 +1,4 @@
-"""What a scheduler grants attendants: leases for their workers, and sessions."""
+"""Leases and sessions that the scheduler grants to attendants."""
 
 from __future__ import annotations
 
@@ -14,36 +14,38 @@
 
 __all__ = ["Grants", "is_out_of_order"]
 
-# How far ahead of a report a worker's lease may reach. A worker that is lost is
-# given up after it, and an attendant that restarts has this long to return
-# before its worker stops everything; 3.5 s are an ordinary outage of a VM.
-_HORIZON = timedelta(seconds=7)
+# Longest lease granted in reply to one report. The runs of a lost worker are given up
+# once it has expired, and an attendant that restarts must return within it, or its
+# worker stops all its tasks. An ordinary outage of a VM lasts 3.5 s.
+_MAX_LEASE = timedelta(seconds=7)
 
-# A worker that no report has shown to live for so long is listed as silent: two
-# reports of one second each, and half of one.
-_SILENCE = timedelta(seconds=2.5)
+# A worker is listed as silent if no report has shown it alive for this long: two and
+# a half report intervals of one second.
+_SILENT_AFTER = timedelta(seconds=2.5)
 
-# Two steady clocks drift apart by at most 2% over a lease.
-_DRIFT = 1.02
+# Two monotonic clocks drift apart by at most 2% over a lease.
+_DRIFT_FACTOR = 1.02
 
-# A lease that ends sooner by less is not worth a line: each report says so anew.
-_TELLING = timedelta(milliseconds=500)
+# Smaller reductions of a lease are not logged, since every report brings one.
+_MIN_LOGGED_REDUCTION = timedelta(milliseconds=500)
 
-# Far more sessions than one scheduler can grant; keeps tokens of a later epoch
-# above all of an earlier one.
+# Far more sessions than one scheduler can grant, so that every fencing token of a
+# later epoch exceeds all those of an earlier one.
 _SESSIONS_PER_EPOCH = 1_000_000
 
 
 class Grants:
-    """Keeps account of what workers may still have, now and under schedulers before.
+    """Tracks the leases and sessions of workers, also those of earlier schedulers.
 
     Parameters
     ----------
-    won : timedelta
+    epoch : int
+        Epoch of the lease row.
+    acquired_at : timedelta
         When the lease row was taken over.
     silent_until : mapping
-        By worker that the scheduler before had not seen to live for a while: when
-        its lease has surely ended.
+        For each worker that the previous scheduler listed as silent, when its lease
+        is certain to have expired.
     """
 
     def __init__(
@@ -60,110 +62,131 @@
         self._silent_until = silent_until
         self._fleet = fleet
         self._clock = clock
-        self._sessions = 0
+        self._session_count = 0
 
     def renew(self, worker: Worker, report: Report, confirmed_at: timedelta) -> int:
-        """Return a lease in milliseconds, none unless the worker is seen to live.
+        """Return the worker's new lease, 0 unless the report shows it alive.
 
-        Attendants outlive their workers. Were their reports alone enough, the lease of
-        a worker that is gone for good would never end, and what it held would wait for
-        ever. Told to nobody, a grant extends nothing, so none is made.
+        An attendant can outlive its worker. If its reports alone renewed the lease, the
+        lease of a lost worker would never expire and its runs would never be started
+        elsewhere. Nor is a lease granted that no worker would be told of.
 
         Parameters
         ----------
-        confirmed : timedelta
-            When the last write was sent that proved the scheduler's right.
+        confirmed_at : timedelta
+            When the last successful write, which proved that this scheduler still
+            holds the lease row, was sent.
+
+        Returns
+        -------
+        int
+            Length of the lease in milliseconds.
         """
         worker.heard = self._clock.elapsed()
         if report.is_worker_alive or report.incarnation != worker.incarnation:
-            # A new attendant has yet to see its worker. Were that listed as silent
-            # till then, it would get no lease if the table fails just as it is seen.
+            # A new attendant has not reached its worker yet. If the worker were listed
+            # as silent in the meantime, it would get no lease if the table failed just
+            # as the attendant reaches it.
             worker.answered = worker.heard
         if report.is_worker_alive:
             return self.grant(worker, confirmed_at)
         if 0 < worker.session == report.session:
-            # Not of an attendant that another one may have replaced meanwhile.
-            self._shorten(worker, timedelta(milliseconds=report.lease_left_ms))
+            # A report of another session is ignored: another attendant may have
+            # replaced the sender in the meantime.
+            self._shorten_lease(worker, timedelta(milliseconds=report.lease_left_ms))
         return 0
 
     def grant(self, worker: Worker, confirmed_at: timedelta) -> int:
-        """Return a lease in milliseconds and remember when it surely ends.
+        """Return a lease and record when it is certain to have expired.
 
         Parameters
         ----------
-        confirmed : timedelta
-            When the last write was sent that proved the scheduler's right.
+        confirmed_at : timedelta
+            When the last successful write was sent.
+
+        Returns
+        -------
+        int
+            Length of the lease in milliseconds, 0 if none can be granted.
         """
         now = self._clock.elapsed()
-        granted = min(now + _HORIZON, confirmed_at + MAX_LEASE_AFTER_WRITE) - now
+        granted = min(now + _MAX_LEASE, confirmed_at + MAX_LEASE_AFTER_WRITE) - now
         if granted <= timedelta(0) or worker.is_listed:
             return 0
-        worker.lease_end = max(worker.lease_end, now + granted * _DRIFT)
+        worker.lease_end = max(worker.lease_end, now + granted * _DRIFT_FACTOR)
         return math.floor(granted.total_seconds() * 1000)
 
     def is_pending(self, worker: Worker, confirmed_at: timedelta) -> bool:
-        """Whether a worker gets a lease as soon as it is no longer listed as silent."""
+        """Return whether only the listing as silent keeps a worker from a lease."""
         return (
             worker.is_listed
             and self._clock.elapsed() < confirmed_at + MAX_LEASE_AFTER_WRITE
         )
 
-    def _shorten(self, worker: Worker, left: timedelta) -> None:
-        """Note that a worker that does not answer may run for `left` at the most.
+    def _shorten_lease(self, worker: Worker, remaining: timedelta) -> None:
+        """Limit the lease of a worker that does not answer to `remaining`.
 
-        Told with each report, it reaches every scheduler. A single word that the lease
-        is over would be lost with the scheduler that heard it, and the next one would
-        wait for a whole lease.
+        Every report repeats the remaining time, so that it reaches each scheduler. A
+        single notice that the lease has expired would be lost with the scheduler that
+        received it, and the next scheduler would wait for a whole lease.
         """
-        end = worker.heard + left * _DRIFT
-        if worker.held_by_ref and worker.lease_end - end > _TELLING:
+        end = worker.heard + remaining * _DRIFT_FACTOR
+        if worker.held_by_ref and worker.lease_end - end > _MIN_LOGGED_REDUCTION:
             log_event(
                 "scheduler:lease-shortened",
                 worker=worker.id,
                 life=worker.life,
-                left_s=left.total_seconds(),
+                left_s=remaining.total_seconds(),
                 held=len(worker.held_by_ref),
             )
         worker.lease_end = min(worker.lease_end, end)
 
     def prior_lease_end(self, worker: str) -> timedelta:
-        """Return when leases granted by earlier schedulers have surely ended."""
+        """Return when leases of earlier schedulers are certain to have expired."""
         return self._silent_until.get(
-            worker, self._acquired_at + MAX_LEASE_AFTER_WRITE * _DRIFT
+            worker, self._acquired_at + MAX_LEASE_AFTER_WRITE * _DRIFT_FACTOR
         )
 
     def list_silent(self) -> dict[str, int]:
-        """Return what a next scheduler must wait for, and grant them no more."""
+        """List the silent workers, which get no lease from now on.
+
+        Returns
+        -------
+        dict
+            For each silent worker that holds runs, the rest of its lease in
+            milliseconds. The next scheduler waits for it.
+        """
         now = self._clock.elapsed()
         silent_ms: dict[str, int] = {}
         for worker in self._fleet.worker_by_id.values():
-            if worker.held_by_ref and now - worker.answered > _SILENCE:
+            if worker.held_by_ref and now - worker.answered > _SILENT_AFTER:
                 worker.is_listed = True
-                left = max(worker.surely_over - now, timedelta(0))
-                silent_ms[worker.id] = math.ceil(left.total_seconds() * 1000)
+                remaining = max(worker.surely_over - now, timedelta(0))
+                silent_ms[worker.id] = math.ceil(remaining.total_seconds() * 1000)
         return silent_ms
 
     def unlist(self, silent_ms: Mapping[str, int]) -> None:
-        """Let workers that the stored row does not list have leases again."""
+        """Allow leases again for workers that the stored lease row does not list."""
         for worker in self._fleet.worker_by_id.values():
             worker.is_listed = worker.id in silent_ms
 
     def has_recovered_worker(self) -> bool:
-        """Whether a worker answers again that the stored row still lists as silent.
+        """Return whether a worker that the lease row lists as silent answers again.
 
-        It gets no lease before another row stands; until the next renewal was due,
-        workers that came back stood idle.
+        It gets no lease until the row is written again. Without an early renewal, such
+        workers would stay idle until the next regular one.
         """
         now = self._clock.elapsed()
         return any(
-            worker.is_listed and now - worker.answered <= _SILENCE
+            worker.is_listed and now - worker.answered <= _SILENT_AFTER
             for worker in self._fleet.worker_by_id.values()
         )
 
     def ensure_session(self, worker: Worker, report: Report) -> None:
-        """Grant an attendant a session of its own, and another to each life beside it.
+        """Grant a new session to each new attendant and each new life of its worker.
 
-        So a look in it shuts out the orders that were meant for the life before.
+        Once a worker has been polled in its new session, it rejects orders that were
+        meant for an earlier life.
         """
         is_known = (
             worker.incarnation == report.incarnation
@@ -187,16 +210,16 @@
         )
 
     def _next_session(self) -> int:
-        """Return a fencing token above every earlier one, of any scheduler."""
-        self._sessions += 1
-        return self._epoch * _SESSIONS_PER_EPOCH + self._sessions
+        """Return a fencing token greater than every earlier one of any scheduler."""
+        self._session_count += 1
+        return self._epoch * _SESSIONS_PER_EPOCH + self._session_count
 
 
 def is_out_of_order(worker: Worker, report: Report) -> bool:
-    """Whether a later report of the same attendant has been taken in.
+    """Return whether a later report of the same attendant has been processed.
 
-    One that got no answer may still arrive, seconds later. What it says of the lease is
-    no longer true of a worker that has answered since.
+    A report whose call timed out may still arrive seconds later. The remaining lease
+    in it is out of date if the worker has answered since.
     """
     if report.incarnation != worker.incarnation:
         return False
