--- a/coltsfoottray/scheduler/active.py
+++ b/coltsfoottray/scheduler/active.py
@@ -1,4 +1,7 @@
-"""One entry's time as the scheduler: rounds of decisions, each stored, then told."""
+"""The scheduler while its entry holds the lease row.
+
+It works in rounds: apply what has arrived, plan, store the decisions, then send orders.
+"""
 
 from __future__ import annotations
 
@@ -37,18 +40,19 @@
 
 __all__ = ["ActiveScheduler"]
 
-# What comes within it is decided together and stored in one transaction.
-_MIN_ROUND = timedelta(milliseconds=15)
-# After a take-over rounds wait so long for workers that held runs to show what became
-# of them. After a loss of power they do so within a tenth of a second of each other;
-# the first two got all that waited, services among it, up to their whole room.
-_GATHERING = timedelta(milliseconds=150)
+# What arrives within it is decided together and stored in one transaction.
+_MIN_ROUND_INTERVAL = timedelta(milliseconds=15)
+# After a takeover, no tasks are placed for this long while workers that held runs have
+# yet to report them. After a power loss workers report within a tenth of a second of
+# each other; without the wait, the first two were filled with all waiting tasks,
+# services among them.
+_RECONCILIATION_PERIOD = timedelta(milliseconds=150)
 _ORDERS_TIMEOUT = timedelta(milliseconds=700)
 
 
 @dataclass(kw_only=True)
 class Inbox:
-    """What has come since the last round."""
+    """What has arrived since the last round."""
 
     reports: list[Report] = field(default_factory=list)
     accepted: list[AcceptedJob] = field(default_factory=list)
@@ -57,19 +61,19 @@
 
 
 class ActiveScheduler:
-    """Decides and stores for as long as the lease row is ours.
+    """Plans, stores the plans and sends orders while it holds the lease row.
 
     Parameters
     ----------
     lease : LeaseRow
-        As written when the row was taken over.
+        The lease row as written when it was taken over.
     version : int
-        The row's version then.
-    won : timedelta
+        Version of the lease row after that write.
+    acquired_at : timedelta
         When that write was sent.
     silent_until : mapping
-        By worker that the scheduler before had not heard of for a while: when its
-        lease has surely ended.
+        For each worker that the previous scheduler listed as silent, when its lease
+        is certain to have expired.
     """
 
     def __init__(
@@ -110,17 +114,17 @@
         self._inbox = Inbox()
         self._wake = trio.Event()
         self._is_resigning = False
-        self._loaded = timedelta(0)
+        self._loaded_at = timedelta(0)
 
     @property
     def lease(self) -> LeaseRow:
         """The lease row as last written."""
         return self._writer.lease
 
-    # What others ask and tell; none of it changes the board.
+    # Queries and notifications. None of them changes the cluster state.
 
     def handle_report(self, report: Report) -> ReportReply:
-        """Take a report in and grant its worker what it may have."""
+        """Queue a report for the next round; reply with a lease and missing orders."""
         worker = self._fleet.get_or_add(
             report.worker, report.address, self._grants.prior_lease_end(report.worker)
         )
@@ -145,22 +149,22 @@
         )
 
     def notify_accepted(self, job: AcceptedJob) -> None:
-        """Hear of a stored job."""
+        """Queue a job whose acceptance is stored."""
         self._inbox.accepted.append(job)
         self._wake.set()
 
     def notify_cancelled(self, job: JobId) -> None:
-        """Hear of a stored cancellation."""
+        """Queue a cancellation that is stored."""
         self._inbox.cancelled.append(job)
         self._wake.set()
 
     def state_of(self, job_id: JobId) -> JobState | None:
-        """Return the stored state of a job."""
+        """Return the stored state of a job, None for an unknown job."""
         job = self.cluster.job_by_id.get(job_id)
         return None if job is None else job.stored_state
 
     def jobs_ended_before(self, moment_ms: int) -> list[JobId]:
-        """Return the jobs that ended before a moment and run nowhere any more."""
+        """Return the jobs that ended before a given time and have no runs left."""
         held = {placed.ref.task.job for placed in self._fleet.placed_runs()}
         return [
             job.id
@@ -171,18 +175,18 @@
         ]
 
     def forget(self, job: JobId) -> None:
-        """Drop a job whose acceptance has been removed."""
+        """Drop a job whose acceptance has been deleted."""
         self._inbox.forgotten.append(job)
         self._wake.set()
 
     def wake(self) -> None:
-        """Plan anew, since something outside has changed."""
+        """Start a new round, because something outside has changed."""
         self._wake.set()
 
-    # The rounds.
+    # Rounds.
 
     def load(self, stored: StoredState) -> None:
-        """Take in everything that was stored before the row was taken over."""
+        """Restore the state that earlier schedulers stored."""
         now = self._clock.elapsed()
         now_ms = as_milliseconds(self._clock.now())
         for orphan in stored.orphan_rows:
@@ -192,13 +196,13 @@
             pressures = stored.pressures.decode(list[Pressure])
             self._writer.adopt_pressures(stored.pressures.version, pressures)
             self.cluster.pressures.restore(pressures)
-        for each in stored.jobs:
+        for stored_job in stored.jobs:
             job = LiveJob(
-                accepted=each.accepted,
-                record=each.record,
-                version=each.version,
-                summary=each.summary,
-                summary_version=each.summary_version,
+                accepted=stored_job.accepted,
+                record=stored_job.record,
+                version=stored_job.version,
+                summary=stored_job.summary,
+                summary_version=stored_job.summary_version,
                 lengths=self.cluster.lengths,
             )
             self.cluster.restore(
@@ -206,10 +210,10 @@
                 lease_end=self._grants.prior_lease_end,
                 now=now,
             )
-            if each.is_cancelled:
-                self.cluster.cancel(each.accepted.id, now_ms)
+            if stored_job.is_cancelled:
+                self.cluster.cancel(stored_job.accepted.id, now_ms)
         self.is_loaded = True
-        self._loaded = now
+        self._loaded_at = now
         log_event(
             "scheduler:loaded",
             epoch=self.lease.epoch,
@@ -224,37 +228,37 @@
         )
 
     async def run(self) -> None:
-        """Decide until deposed or asked to resign.
+        """Run rounds until asked to resign.
 
         Raises
         ------
-        Deposed
-            If a write shows that the lease row is another's.
+        LeaseLost
+            If a write shows that another entry has taken the lease row over.
         """
         async with trio.open_nursery() as nursery:
             while not self._is_resigning:
-                await self._wait_for_news()
-                begun = self._clock.elapsed()
-                placed, ends = self._decide()
+                await self._wait_for_changes()
+                started_at = self._clock.elapsed()
+                placed, last_end_by_worker = self._decide()
                 await self._writer.store(
                     self.cluster.job_by_id.values(), self.cluster.pressures
                 )
-                self._release(placed, ends, nursery)
-                self._measure(begun, placed)
+                self._send_orders(placed, last_end_by_worker, nursery)
+                self._record_metrics(started_at, placed)
         await self._writer.resign()
 
     def resign(self) -> None:
-        """Let another entry take over at once, after the round under way."""
+        """Release the lease row after the current round."""
         self._is_resigning = True
         self._wake.set()
 
-    def _measure(self, begun: timedelta, placed: list[PlacedRun]) -> None:
-        """Measure a round that has been stored."""
-        self._metrics.time("scheduler_round", self._clock.elapsed() - begun)
+    def _record_metrics(self, started_at: timedelta, placed: list[PlacedRun]) -> None:
+        """Record the metrics of a round that has been stored."""
+        self._metrics.time("scheduler_round", self._clock.elapsed() - started_at)
         now_ms = as_milliseconds(self._clock.now())
-        for each in placed:
-            job = each.step.job.accepted
-            first = each.ref.run == 1 and not each.step.spec.after
+        for run in placed:
+            job = run.step.job.accepted
+            first = run.ref.run == 1 and not run.step.spec.after
             if first and job.spec.repetition is None:
                 waited = timedelta(milliseconds=max(now_ms - job.accepted_ms, 0))
                 priority = str(job.terms.priority)
@@ -267,25 +271,33 @@
         out_of_reach = [w.held_by_ref for w in workers if not w.is_reachable]
         self._metrics.gauge("runs_out_of_reach", sum(map(len, out_of_reach)))
 
-    async def _wait_for_news(self) -> None:
+    async def _wait_for_changes(self) -> None:
         due = self._writer.renewed_at + RENEWAL_INTERVAL - self._clock.elapsed()
-        due = min(due, self._until_planned())
+        due = min(due, self._time_to_next_plan())
         with trio.move_on_after(max(due.total_seconds(), 0.0)):
             await self._wake.wait()
-            await self._clock.sleep(_MIN_ROUND)
+            await self._clock.sleep(_MIN_ROUND_INTERVAL)
         self._wake = trio.Event()
 
-    def _until_planned(self) -> timedelta:
-        """Return when plans may be made again, or the next occurrence is due."""
-        if self._is_gathering():
-            return self._loaded + _GATHERING - self._clock.elapsed()
+    def _time_to_next_plan(self) -> timedelta:
+        """Return the time until planning resumes or the next occurrence is due."""
+        if self._is_reconciling():
+            return self._loaded_at + _RECONCILIATION_PERIOD - self._clock.elapsed()
         next_due_ms = self.cluster.next_due_ms()
         if next_due_ms is None:
             return RENEWAL_INTERVAL
         return timedelta(milliseconds=next_due_ms - as_milliseconds(self._clock.now()))
 
     def _decide(self) -> tuple[list[PlacedRun], dict[str, int]]:
-        """Change the board by all that has come, and plan."""
+        """Apply what has arrived to the cluster state, and plan.
+
+        Returns
+        -------
+        placed : list of PlacedRun
+            The new runs.
+        last_end_by_worker : dict
+            Number of the last run end in the workers' reports.
+        """
         now = self._clock.elapsed()
         now_ms = as_milliseconds(self._clock.now())
         inbox, self._inbox = self._inbox, Inbox()
@@ -296,7 +308,7 @@
         for job_id in inbox.forgotten:
             ended = self.cluster.job_by_id.get(job_id)
             if ended is not None:
-                self._writer.forget(ended)
+                self._writer.discard_job(ended)
             self.cluster.forget(job_id)
         last_end_by_worker: dict[str, int] = {}
         for report in inbox.reports:
@@ -306,51 +318,56 @@
         self.planner.evacuate(now)
         self.planner.rebalance(now)
         self.planner.pack_services(now)
-        if self._is_gathering():
+        if self._is_reconciling():
             return [], last_end_by_worker
         return self.planner.plan(now, now_ms), last_end_by_worker
 
-    def _is_gathering(self) -> bool:
-        """Whether workers may still show, soon, what became of runs they had."""
-        if self._clock.elapsed() - self._loaded >= _GATHERING:
+    def _is_reconciling(self) -> bool:
+        """Return whether to wait for workers to report the runs that they held."""
+        if self._clock.elapsed() - self._loaded_at >= _RECONCILIATION_PERIOD:
             return False
         return any(worker.is_unsettled for worker in self._fleet.worker_by_id.values())
 
-    def _release(
-        self, placed: list[PlacedRun], ends: dict[str, int], nursery: trio.Nursery
+    def _send_orders(
+        self,
+        placed: list[PlacedRun],
+        last_end_by_worker: dict[str, int],
+        nursery: trio.Nursery,
     ) -> None:
-        """Tell attendants what is now stored."""
+        """Send the stored starts, stops and acknowledgements to the attendants."""
         starts_by_worker: dict[str, list[PlacedRun]] = {}
-        for each in placed:
-            each.is_released = True
-            starts_by_worker.setdefault(each.worker, []).append(each)
+        for run in placed:
+            run.is_released = True
+            starts_by_worker.setdefault(run.worker, []).append(run)
         for worker in self._fleet.worker_by_id.values():
-            worker.acknowledged = max(worker.acknowledged, ends.get(worker.id, 0))
+            worker.acknowledged = max(
+                worker.acknowledged, last_end_by_worker.get(worker.id, 0)
+            )
             starts = starts_by_worker.get(worker.id, [])
             stops = [
-                each
-                for each in worker.held_by_ref.values()
-                if each.is_stopping and not each.is_stop_sent
+                run
+                for run in worker.held_by_ref.values()
+                if run.is_stopping and not run.is_stop_sent
             ]
             if worker.address is None or not worker.session or not (starts or stops):
                 continue
-            for each in stops:
-                each.is_stop_sent = True
+            for run in stops:
+                run.is_stop_sent = True
             orders = Orders(
                 session=worker.session,
                 life=worker.life,
-                starts=[make_start_order(each) for each in starts],
-                stops=[each.ref for each in stops],
+                starts=[make_start_order(run) for run in starts],
+                stops=[run.ref for run in stops],
                 acknowledged=worker.acknowledged,
             )
-            nursery.start_soon(self._push, worker, orders)
+            nursery.start_soon(self._push_orders, worker, orders)
 
-    async def _push(self, worker: Worker, orders: Orders) -> None:
+    async def _push_orders(self, worker: Worker, orders: Orders) -> None:
         assert worker.address is not None
         try:
             await self._peers.call(
                 worker.address, ORDERS, orders, timeout=_ORDERS_TIMEOUT
             )
         except CommunicationError as error:
-            # The reply to the attendant's next report carries them again.
+            # The reply to the attendant's next report repeats the orders.
             log_event("scheduler:push-failed", worker=worker.id, reason=str(error))
--- a/coltsfoottray/scheduler/writer.py
+++ b/coltsfoottray/scheduler/writer.py
@@ -1,4 +1,4 @@
-"""The scheduler's rows: each write names the lease row, and so proves its right."""
+"""Writes the scheduler's rows, on condition that it still holds the lease row."""
 
 from __future__ import annotations
 
@@ -27,38 +27,39 @@
 
 __all__ = ["LeaseLost", "StateWriter"]
 
-_RETRY = timedelta(milliseconds=100)
+_RETRY_INTERVAL = timedelta(milliseconds=100)
 
-# The store takes 100 conditions and writes in a transaction, one of each for a row; two
-# rows are those of the lease and of pressures.
+# The store allows 100 conditions and writes in a transaction, and each row takes one of
+# both. Two rows are reserved for the lease and the pressures.
 _ROWS_PER_COMMIT = 48
-# Its limit is 1 MB; base64 adds a third.
+# The store's limit is 1 MB, and base64 adds a third.
 _BYTES_PER_COMMIT = 500_000
 
-# Checkpoints come with each second of work. At most one commit's jobs are written in
-# that time for their sake, so that thousands of running tasks add one write a second.
+# Tasks report checkpoints every second. Per period, at most one transaction of jobs is
+# written for their checkpoints alone, so that thousands of running tasks add only one
+# write per second.
 _CHECKPOINT_PERIOD = timedelta(seconds=1)
 
-# What images do to one another is learned in seconds and changes little.
+# Interference between images is measured within seconds and changes little.
 _PRESSURES_PERIOD = timedelta(seconds=4)
-# At 40 bytes a pair a row of them stays below a quarter of the store's limit.
+# At 40 bytes per pair, the row stays below a quarter of the store's limit.
 _MAX_PRESSURES = 400
 
 
 class LeaseLost(ColtsfoottrayError):
-    """Another entry has taken over."""
+    """Another entry has taken the lease row over."""
 
 
 class StateWriter:
-    """Writes what the scheduler decides, for as long as the lease row is its own.
+    """Writes the scheduler's decisions while it holds the lease row.
 
     Parameters
     ----------
     lease : LeaseRow
-        As written when the row was taken over.
+        The lease row as written when it was taken over.
     version : int
-        The row's version then.
-    won : timedelta
+        Version of the lease row after that write.
+    acquired_at : timedelta
         When that write was sent.
     """
 
@@ -73,23 +74,23 @@
         clock: Clock,
     ) -> None:
         self.lease = lease
-        # When the last write of ours that succeeded was sent, and the last one that
-        # renewed the lease row, by which the others judge.
+        # When the last successful write was sent, and the last one that renewed the
+        # lease row. Other entries judge the holder by its renewals only.
         self.confirmed_at = acquired_at
         self.renewed_at = acquired_at
         self._version = version
         self._grants = grants
         self._table = table
         self._clock = clock
-        # Rows to be deleted with a next commit, by their versions.
+        # Versions of the rows to delete with one of the next commits, by key.
         self._garbage: dict[str, int] = {}
-        self._checkpoints_stored = acquired_at
-        self._pressures_looked_at = acquired_at
+        self._checkpoints_stored_at = acquired_at
+        self._pressures_checked_at = acquired_at
         self._pressures_version = 0
         self._pressures: list[Pressure] = []
 
     def adopt_pressures(self, version: int, pressures: list[Pressure]) -> None:
-        """Go on from the row that another scheduler has left."""
+        """Continue from the pressures row that an earlier scheduler wrote."""
         self._pressures_version = version
         self._pressures = pressures
 
@@ -97,7 +98,7 @@
         """Delete a row with the next commit."""
         self._garbage[key] = version
 
-    def forget(self, job: LiveJob) -> None:
+    def discard_job(self, job: LiveJob) -> None:
         """Delete a job's rows with the next commit."""
         if job.version:
             self.discard(record_key(job.id), job.version)
@@ -105,56 +106,57 @@
             self.discard(summary_key(job.id), job.summary_version)
 
     async def store(self, jobs: Iterable[LiveJob], pressures: PressureTable) -> None:
-        """Store all that has changed.
+        """Store all changes, and renew the lease row if a renewal is due.
 
         Raises
         ------
-        Deposed
-            If the lease row is another's.
+        LeaseLost
+            If another entry has taken the lease row over.
         """
-        dirty = self._find_dirty(jobs)
+        dirty = self._jobs_to_store(jobs)
         extra = self._put_pressures(pressures)
-        for batch in _batches(dirty):
+        for batch in _split_batches(dirty):
             await self._commit(batch, extra, renews=self._is_renewal_due())
             extra = []
         if self._garbage or extra or (not dirty and self._is_renewal_due()):
             await self._commit([], extra, renews=True)
 
     async def resign(self) -> None:
-        """Let another entry take over at once."""
+        """Release the lease row, so that another entry can take it over at once."""
         self.lease = msgspec.structs.replace(self.lease, is_resigned=True)
         await self._commit([], [], renews=True)
         log_event("scheduler:resigned", epoch=self.lease.epoch)
 
-    def _find_dirty(self, jobs: Iterable[LiveJob]) -> list[LiveJob]:
-        """Return the jobs to store: those changed, and some for their checkpoints.
+    def _jobs_to_store(self, jobs: Iterable[LiveJob]) -> list[LiveJob]:
+        """Return the changed jobs, and some that only have new checkpoints.
 
-        Without the latter a loss of power threw away all work since the tasks began.
+        If checkpoints were not stored, a power loss would discard all work since the
+        tasks started.
         """
         dirty: list[LiveJob] = []
-        saved: list[LiveJob] = []
+        with_checkpoints: list[LiveJob] = []
         for job in jobs:
             if job.is_dirty:
                 dirty.append(job)
             elif job.has_new_checkpoints:
-                saved.append(job)
+                with_checkpoints.append(job)
         now = self._clock.elapsed()
-        if saved and now - self._checkpoints_stored >= _CHECKPOINT_PERIOD:
-            self._checkpoints_stored = now
-            saved.sort(key=lambda job: job.stored_at)
-            dirty += saved[:_ROWS_PER_COMMIT]
+        if with_checkpoints and now - self._checkpoints_stored_at >= _CHECKPOINT_PERIOD:
+            self._checkpoints_stored_at = now
+            with_checkpoints.sort(key=lambda job: job.stored_at)
+            dirty += with_checkpoints[:_ROWS_PER_COMMIT]
         return dirty
 
     def _put_pressures(self, table: PressureTable) -> list[Put]:
-        """Return a write of what was learned, if it is due.
+        """Return a write of the measured pressures if one is due.
 
-        After a loss of power builds would otherwise wait until each pair of images has
-        been tried anew.
+        If they were not stored, fillers such as builds would wait after a power loss
+        until every pair of images has been measured again.
         """
         now = self._clock.elapsed()
-        if now - self._pressures_looked_at < _PRESSURES_PERIOD:
+        if now - self._pressures_checked_at < _PRESSURES_PERIOD:
             return []
-        self._pressures_looked_at = now
+        self._pressures_checked_at = now
         pressures = sorted(table.all(), key=lambda each: -each.weight)[:_MAX_PRESSURES]
         if not pressures or pressures == self._pressures:
             return []
@@ -165,7 +167,7 @@
         self, jobs: list[LiveJob], extra: list[Put], *, renews: bool
     ) -> None:
         sent = self._clock.elapsed()
-        puts = [put for job in jobs for put in _puts_of(job)]
+        puts = [put for job in jobs for put in _job_puts(job)]
         garbage = list(self._garbage)[: _ROWS_PER_COMMIT - len(puts)]
         puts += extra
         puts += [Put(key=key, version=self._garbage.pop(key)) for key in garbage]
@@ -179,7 +181,9 @@
             puts.append(Put.of(LEASE_KEY, self._version, self.lease))
         else:
             checks.append(Check(key=LEASE_KEY, version=self._version))
-        versions = await self._commit_surely(Transaction(puts=puts, checks=checks))
+        versions = await self._commit_until_available(
+            Transaction(puts=puts, checks=checks)
+        )
         self.confirmed_at = sent
         self._version = versions.get(LEASE_KEY, self._version)
         self._pressures_version = versions.get(PRESSURES_KEY, self._pressures_version)
@@ -190,7 +194,7 @@
             summary_version = versions.get(summary_key(job.id), job.summary_version)
             job.mark_stored(versions[record_key(job.id)], summary_version, sent)
 
-    async def _commit_surely(self, transaction: Transaction) -> dict[str, int]:
+    async def _commit_until_available(self, transaction: Transaction) -> dict[str, int]:
         while True:
             try:
                 outcome = await commit_settled(
@@ -198,13 +202,13 @@
                 )
             except TableUnavailable as error:
                 log_event("scheduler:table-unavailable", reason=str(error))
-                await self._clock.sleep(_RETRY)
+                await self._clock.sleep(_RETRY_INTERVAL)
                 continue
             if isinstance(outcome, Failure):
                 rows = [row.key for row in outcome.failure().rows]
                 raise LeaseLost(
-                    f"epoch {self.lease.epoch}: {len(rows)} rows changed, "
-                    f"the first is {rows[:1]}"
+                    f"epoch {self.lease.epoch}: {len(rows)} rows changed by others, "
+                    f"first {rows[:1]}"
                 )
             return outcome.unwrap()
 
@@ -213,8 +217,8 @@
         return is_old or self._grants.has_recovered_worker()
 
 
-def _batches(jobs: list[LiveJob]) -> list[list[LiveJob]]:
-    """Split jobs into what one transaction takes."""
+def _split_batches(jobs: list[LiveJob]) -> list[list[LiveJob]]:
+    """Split jobs into batches that each fit into one transaction."""
     batches: list[list[LiveJob]] = []
     size = rows = 0
     for job in jobs:
@@ -230,12 +234,13 @@
     return batches
 
 
-def _puts_of(job: LiveJob) -> list[Put]:
+def _job_puts(job: LiveJob) -> list[Put]:
     """Return the writes that store a job.
 
-    What callers ask for stands in a row of its own, which changes twice or three
-    times a job: every entry follows it, and with each change of a task it would carry
-    all of them, which links of 5 Mbit/s to an entry did not.
+    The summary that callers ask for has a row of its own, which changes two or three
+    times per job. All entries follow these rows. If they followed the records, every
+    change of a task would send them all tasks of the job, which is too much for an
+    entry's link of 5 Mbit/s.
     """
     puts = [Put.of(record_key(job.id), job.version, job.record)]
     if job.has_new_summary:
