--- a/coltsfoottray/scheduler/live.py
+++ b/coltsfoottray/scheduler/live.py
@@ -1,4 +1,4 @@
-"""A job in the scheduler's memory: its record, and what follows from it."""
+"""Jobs in the scheduler's memory: their stored records and state derived from them."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 __all__ = ["AdviceState", "LiveJob", "LiveStep", "Ticket"]
 
-# A start is stored, sent and carried out within it, on an ordinary day.
-_ORDER_TIME = timedelta(milliseconds=300)
+# Time in which a start is usually stored, sent and carried out.
+_ORDER_LATENCY = timedelta(milliseconds=300)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Ticket:
-    """Lets a worker run a step until it expires."""
+    """Permission for a worker to run a step until it expires."""
 
     value: str
     expires_at: timedelta
@@ -32,22 +32,22 @@
 
 @dataclass(kw_only=True)
 class AdviceState:
-    """What an outside service was asked about a step.
+    """Requests for advice about a step, and refusals.
 
     Parameters
     ----------
-    turn : timedelta, optional
-        When it was last considered for a question in its turn, or asked about; at
-        first, since when it can start.
+    considered_at : timedelta, optional
+        When advice about the step was last requested or its turn last came; before
+        that, when the step became ready to start.
     refused_by_life : dict
-        By life of a worker that may not run the step, when that was told.
+        For each life of a worker that may not run the step, when it was refused.
     """
 
     considered_at: timedelta | None = None
     refused_by_life: dict[str, timedelta] = field(default_factory=dict)
 
     def mark_ready(self, now: timedelta) -> None:
-        """Note that the step can start."""
+        """Record that the step is ready to start."""
         if self.considered_at is None:
             self.considered_at = now
 
@@ -59,17 +59,18 @@
     Parameters
     ----------
     waiting : list of int
-        Tasks without a run, by index.
+        Indices of the tasks without a run.
     failed_runs : set of int
-        For a gang: the runs whose failure was counted.
+        The runs whose failure has been counted. In a gang, several tasks may report
+        the failure of one run.
     avoid_by_index : dict
-        By task, the workers on which it failed or stalled.
+        For each task index, the workers on which the task failed or stalled.
     ticket_by_life : dict
-        By life of a worker, the ticket with which it may run the step.
-    tried : int
-        The round in which a place was last looked for, 0 for none.
+        For each life of a worker, the ticket that allows it to run the step.
+    last_tried_round : int
+        The last round in which a worker was sought for the step, 0 for none.
     hindrance : Hindrance, optional
-        Why it waits, as last told.
+        Why the step waits, as last logged.
     """
 
     job: LiveJob
@@ -99,24 +100,24 @@
         self.done = sum(record.phase is TaskPhase.DONE for record in self.records)
 
     def valid_lives(self, now: timedelta) -> set[str]:
-        """Return the lives whose tickets hold until a start can reach them."""
+        """Return the lives whose tickets are valid until a start can reach them."""
         return {
             life
             for life, ticket in self.ticket_by_life.items()
-            if ticket.expires_at > now + _ORDER_TIME
+            if ticket.expires_at > now + _ORDER_LATENCY
         }
 
     @property
     def is_done(self) -> bool:
-        """Whether every task has ended well."""
+        """Whether every task has completed."""
         return self.done == len(self.records)
 
     @property
     def can_start(self) -> bool:
-        """Whether it has tasks to start and its turn has come.
+        """Whether it has waiting tasks and the steps that it depends on are done.
 
-        A gang starts as a whole: while one of its members may still run, none
-        of the others is started.
+        A gang starts as a whole: while one of its members may still run, no other
+        member is started.
         """
         if not self.waiting or self.job.record.state.is_final:
             return False
@@ -128,12 +129,12 @@
     def checkpoint_record(self, index: int) -> TaskRecord:
         """Return the record that holds a task's checkpoint.
 
-        That of any member of a gang holds for all, and they must begin with the same.
+        The members of a gang share one checkpoint, since all must resume from the same.
         """
         return self.records[0 if self.spec.is_gang else index]
 
     def ref(self, index: int) -> TaskRef:
-        """Return the name of one of its tasks."""
+        """Return the reference to one of its tasks."""
         return TaskRef(
             job=self.job.id,
             occurrence=self.occurrence,
@@ -142,7 +143,10 @@
         )
 
     def next_run(self, index: int) -> RunRef:
-        """Return the name of a task's next run; a gang's members share theirs."""
+        """Return the reference to a task's next run.
+
+        The members of a gang share the run number.
+        """
         if self.spec.is_gang:
             run = max(record.run for record in self.records) + 1
         else:
@@ -156,17 +160,17 @@
     Parameters
     ----------
     accepted : AcceptedJob
-        As stored.
+        The acceptance as stored.
     record : JobRecord, optional
-        Its progress as stored, none for a job that has not begun.
+        Its progress as stored, None for a job that has not started.
     version : int
-        The version of that row, 0 where there is none.
+        Version of the record's row, 0 if there is none.
     summary : JobSummary, optional
-        The part of it that callers ask for, as stored in a row of its own.
+        The part of the progress that callers ask for, stored in a row of its own.
     summary_version : int
-        The version of that row, 0 where there is none.
+        Version of the summary's row, 0 if there is none.
     lengths : LengthBook
-        Tells how long its tasks are likely to take.
+        Estimates how long its tasks take.
     """
 
     def __init__(
@@ -181,21 +185,21 @@
     ) -> None:
         self.accepted = accepted
         self._lengths = lengths
-        self._lengths_edition = -1
+        self._lengths_revision = -1
         self._expected_ms: list[float] = []
         self.stored_summary = summary
         self.summary_version = summary_version
         self.record = record or JobRecord()
         self.version = version
         self.is_dirty = False
-        # Whether a checkpoint came since it was stored last, and when that was.
+        # Whether checkpoints arrived since the job was last stored, and when that was.
         self.has_new_checkpoints = False
         self.stored_at = timedelta(0)
-        # Since when nothing of it has run although a task could.
+        # Since when none of its tasks has run although one could.
         self.idle_since: timedelta | None = None
         self._critical_path_ms = 0.0
         for number, seen_ms in self.record.length_ms_by_step.items():
-            self._tell_length(number, seen_ms)
+            self._report_length(number, seen_ms)
         self.steps_by_occurrence: list[list[LiveStep]] = [
             self._make_steps(number, tasks)
             for number, tasks in enumerate(self.record.occurrences)
@@ -203,18 +207,18 @@
 
     @property
     def id(self) -> JobId:
-        """The id its caller chose."""
+        """The id that its caller chose."""
         return self.accepted.id
 
     @property
     def times(self) -> int:
-        """How often its steps run."""
+        """The number of its occurrences."""
         repetition = self.accepted.spec.repetition
         return 1 if repetition is None else repetition.times
 
     @property
     def next_due_ms(self) -> int | None:
-        """When the next occurrence is due, none if all have been."""
+        """When the next occurrence is due, None if all have been."""
         number = len(self.record.occurrences)
         if number >= self.times or self.record.state.is_final:
             return None
@@ -222,7 +226,7 @@
         return 0 if repetition is None else repetition.due_ms(number)
 
     def add_due_occurrences(self, now_ms: int) -> None:
-        """Add the occurrences whose time has come."""
+        """Add the occurrences that are due."""
         while (due := self.next_due_ms) is not None and due <= now_ms:
             tasks = [
                 [TaskRecord() for _ in range(step.count)]
@@ -234,13 +238,19 @@
 
     @property
     def critical_path_ms(self) -> float:
-        """The expected length of its longest chain of work, in ms."""
-        self._expect_lengths()
+        """The expected length of its critical path in ms."""
+        self._update_expected_lengths()
         return self._critical_path_ms
 
     def critical_path_left_ms(self, occurrence: int) -> float:
-        """Return the expected length of what is not done of an occurrence, in ms."""
-        self._expect_lengths()
+        """Return the expected critical path through an occurrence's unfinished steps.
+
+        Returns
+        -------
+        float
+            Its length in ms.
+        """
+        self._update_expected_lengths()
         steps = self.steps_by_occurrence[occurrence]
         left = [
             0.0 if step.is_done else self._expected_ms[step.number] for step in steps
@@ -248,33 +258,34 @@
         return _longest_path([step.spec for step in steps], left)
 
     def record_length(self, step: int, seen_ms: float) -> None:
-        """Take in how long a task of a step took, or will take."""
+        """Record how long a task of a step took, or is likely to take."""
         known = self.record.length_ms_by_step
         if step not in known:
             known[step] = round(seen_ms)
-            self._tell_length(step, known[step])
+            self._report_length(step, known[step])
 
-    def _tell_length(self, step: int, seen_ms: float) -> None:
+    def _report_length(self, step: int, seen_ms: float) -> None:
         declared_ms = self.accepted.spec.steps[step].estimate_ms
         self._lengths.note(
             self.accepted.queue, declared_ms=declared_ms, seen_ms=seen_ms
         )
 
-    def _expect_lengths(self) -> None:
-        if self._lengths_edition == self._lengths.edition:
+    def _update_expected_lengths(self) -> None:
+        if self._lengths_revision == self._lengths.edition:
             return
-        self._lengths_edition = self._lengths.edition
+        self._lengths_revision = self._lengths.edition
         steps = self.accepted.spec.steps
         self._expected_ms = [
-            self._expect_ms(number, step.estimate_ms)
+            self._expected_length_ms(number, step.estimate_ms)
             for number, step in enumerate(steps)
         ]
         self._critical_path_ms = _longest_path(steps, self._expected_ms)
 
-    def _expect_ms(self, step: int, declared_ms: float) -> float:
-        """Return how long a task of a step is likely to take, in ms."""
+    def _expected_length_ms(self, step: int, declared_ms: float) -> float:
+        """Return how long a task of a step is expected to take, in ms."""
         if not self.accepted.terms.has_objective:
-            # Nothing is late; what is declared is all that tells how urgent it is.
+            # Without an objective no job is late, and the declared length alone
+            # determines its urgency.
             return declared_ms
         seen_ms = self.record.length_ms_by_step.get(step)
         if seen_ms is not None:
@@ -282,11 +293,11 @@
         return self._lengths.expect_ms(self.accepted.queue, declared_ms)
 
     def steps(self) -> list[LiveStep]:
-        """Return the steps of every occurrence that is not done."""
+        """Return the steps of all unfinished occurrences."""
         return [step for steps in self.steps_by_occurrence for step in steps]
 
     def find(self, task: TaskRef) -> LiveStep | None:
-        """Return the step that holds `task`, if its occurrence is not done."""
+        """Return the step that contains `task`, None if its occurrence is done."""
         if task.occurrence >= len(self.steps_by_occurrence):
             return None
         steps = self.steps_by_occurrence[task.occurrence]
@@ -295,25 +306,25 @@
         return steps[task.step]
 
     def close_occurrence(self, number: int) -> None:
-        """Forget the tasks of an occurrence once all have ended well."""
+        """Drop the tasks of an occurrence if all have completed."""
         if all(step.is_done for step in self.steps_by_occurrence[number]):
             self.record.occurrences[number] = []
             self.steps_by_occurrence[number] = []
 
     @property
     def stored_state(self) -> JobState:
-        """The state that callers may be told."""
+        """The stored state, which callers may be told."""
         if self.stored_summary is None:
             return JobState.QUEUED
         return self.stored_summary.state
 
     @property
     def has_new_summary(self) -> bool:
-        """Whether what callers may ask for has changed since it was stored."""
+        """Whether the summary has changed since it was stored."""
         return self.record.summary != self.stored_summary
 
     def mark_stored(self, version: int, summary_version: int, sent: timedelta) -> None:
-        """Note that both rows stand as they are, by a write sent at `sent`."""
+        """Record that both rows are up to date, by a write sent at `sent`."""
         self.version = version
         self.summary_version = summary_version
         self.stored_summary = self.record.summary
@@ -338,7 +349,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether every occurrence has been due and is done."""
+        """Whether every occurrence is done."""
         return len(self.record.occurrences) >= self.times and not any(
             self.steps_by_occurrence
         )
@@ -359,7 +370,7 @@
 
 
 def _longest_path(steps: list[StepSpec], length_ms: list[float]) -> float:
-    """Return the length of the longest chain of steps, in ms."""
+    """Return the length of the critical path through the steps, in ms."""
     ends: list[float] = []
     for number, step in enumerate(steps):
         before = [ends[each] for each in step.after if each < number]
