--- a/coltsfoottray/scheduler/lease.py
+++ b/coltsfoottray/scheduler/lease.py
@@ -1,9 +1,9 @@
-"""The right to schedule: one row, held by one entry at a time.
+"""The scheduler's lease row, which one entry holds at a time.
 
-Every write of the scheduler names the version of this row, so that one that has
-been replaced, perhaps while it was frozen, cannot write any more. That makes it
-safe to take the row over at any moment; the delays below only keep a scheduler
-that is merely slow from being replaced.
+Every write of the scheduler checks the version of this row, so that a scheduler that
+has been replaced, perhaps while it was frozen, can no longer write. The row can
+therefore be taken over safely at any time; the delays below only avoid replacing a
+scheduler that is merely slow.
 """
 
 from __future__ import annotations
@@ -27,38 +27,38 @@
     "LeaseWatch",
 ]
 
-# How long after its last confirmed write a scheduler lets workers run on. Just
-# under the platform's longest lease (10 s), so that an outage of the table of 4.5 s,
-# or one of 9 s for some, stops no task.
+# How long after a scheduler's last confirmed write worker leases may reach. Just under
+# the platform's longest lease (10 s), so that neither a table outage of 4.5 s nor one
+# of 9 s that only some processes see stops a task.
 MAX_LEASE_AFTER_WRITE = timedelta(seconds=9)
 
-# The row is written at least this often.
+# The holder writes the row at least this often.
 RENEWAL_INTERVAL = timedelta(milliseconds=500)
 
-# Three renewals missed, less the time a change takes to be seen.
-_STALE = timedelta(milliseconds=1300)
-# A holder that answers but has not renewed for so long cannot reach the table, which
-# others can. Six renewals, since a table that is 70 times slower than usual takes
-# almost two for one.
-_CUT_OFF = timedelta(seconds=3)
+# Three missed renewals, less the time until a change is visible.
+_STALE_AFTER = timedelta(milliseconds=1300)
+# A holder that answers but has not renewed for this long cannot reach the table, while
+# others can. Six renewals, since with a table 70 times slower than usual one renewal
+# takes almost two intervals.
+_CUT_OFF_AFTER = timedelta(seconds=3)
 _PING_TIMEOUT = timedelta(milliseconds=400)
 
 
 class LeaseRow(msgspec.Struct, frozen=True, kw_only=True):
-    """Who schedules.
+    """The entry that is the scheduler.
 
     Parameters
     ----------
     epoch : int
-        Rises with each holder.
+        Increases with each holder.
     renewals : int
-        Makes each renewal another value.
+        Increases with each renewal, so that each one changes the row.
     is_resigned : bool
-        The holder has stopped; anybody may take over at once.
+        The holder has resigned; any entry may take over at once.
     silent_ms : dict
-        By worker that holds runs and is not heard of: how much longer a lease it
-        may have from when this was written. The holder grants it none while it
-        is listed, so that the next holder need not wait for longer.
+        For each silent worker that holds runs, how long its lease may last from the
+        time of this write. The holder grants no lease to a listed worker, so that the
+        next holder does not have to wait longer.
     """
 
     epoch: int
@@ -71,34 +71,34 @@
 
 
 class HolderStatus(enum.Enum):
-    """What is known of the holder."""
+    """The state of the holder, as another entry sees it."""
 
     NONE = "none"
     HELD = "held"
     RESIGNED = "resigned"
     REPLACED = "replaced"
-    """The holder's process has ended: another one answers at its address."""
+    """The holder's process has ended; another process answers at its address."""
     ABANDONED = "abandoned"
-    """It names this very process, which does not schedule: the answer to an
-    earlier attempt to take the row over was lost."""
+    """The row names this process, which is not the scheduler: the answer to an
+    earlier takeover was lost."""
     STALE = "stale"
-    """It neither answers nor renews."""
+    """The holder neither answers nor renews."""
     CUT_OFF = "cut-off"
-    """It answers, but has not renewed for long."""
+    """The holder answers, but has not renewed for a long time."""
 
     @property
     def is_free(self) -> bool:
-        """Whether the row may be taken over."""
+        """Whether another entry may take the row over."""
         return self is not HolderStatus.HELD
 
 
 class LeaseWatch:
-    """Follows the row and judges whether its holder lives.
+    """Tracks the lease row and determines whether its holder is alive.
 
     Parameters
     ----------
     name, incarnation : str
-        This process's own.
+        Name and incarnation of this process.
     """
 
     def __init__(
@@ -110,17 +110,17 @@
         self._clock = clock
         self.row: LeaseRow | None = None
         self.version = 0
-        self.changed = clock.elapsed()
+        self.changed_at = clock.elapsed()
 
     def observe(self, row: LeaseRow, version: int) -> None:
-        """Take in what the row holds now."""
+        """Record the row's current value and version."""
         if version > self.version:
             self.row = row
             self.version = version
-            self.changed = self._clock.elapsed()
+            self.changed_at = self._clock.elapsed()
 
     async def check_holder(self) -> HolderStatus:
-        """Return the holder's standing, as seen by a process that is not it."""
+        """Return the holder's status, as seen by a process that is not the holder."""
         row = self.row
         if row is None:
             return HolderStatus.NONE
@@ -135,12 +135,20 @@
                 row.address, PING, Ping(), timeout=_PING_TIMEOUT
             )
         except CommunicationError:
-            # The row may have changed while the call waited.
-            return HolderStatus.STALE if self._age() > _STALE else HolderStatus.HELD
+            # The row may have changed during the call.
+            return (
+                HolderStatus.STALE
+                if self._row_age() > _STALE_AFTER
+                else HolderStatus.HELD
+            )
         if reply.incarnation != row.incarnation:
             return HolderStatus.REPLACED
-        return HolderStatus.CUT_OFF if self._age() > _CUT_OFF else HolderStatus.HELD
-
-    def _age(self) -> timedelta:
-        """Return for how long the row has not changed."""
-        return self._clock.elapsed() - self.changed
+        return (
+            HolderStatus.CUT_OFF
+            if self._row_age() > _CUT_OFF_AFTER
+            else HolderStatus.HELD
+        )
+
+    def _row_age(self) -> timedelta:
+        """Return the time since the row last changed."""
+        return self._clock.elapsed() - self.changed_at
--- a/coltsfoottray/scheduler/service.py
+++ b/coltsfoottray/scheduler/service.py
@@ -1,4 +1,4 @@
-"""The scheduler's part of an entry: taking over, deciding, passing on."""
+"""The scheduler service of an entry: takes the lease row over, runs, forwards calls."""
 
 from __future__ import annotations
 
@@ -49,20 +49,20 @@
 
 __all__ = ["Scheduler"]
 
-_POLL = timedelta(milliseconds=200)
-# Two entries that see the row free at the same moment should not both write.
+_POLL_INTERVAL = timedelta(milliseconds=200)
+# Random delay that keeps two entries that find the row free at once from both writing.
 _MAX_STAGGER_S = 0.05
 _CALL_TIMEOUT = timedelta(milliseconds=400)
-# After a loss of power daemons come back within a second of each other.
-_GREETINGS = 10
-_GREETING_TIMEOUT = timedelta(milliseconds=200)
-_GREETING_PAUSE = timedelta(milliseconds=100)
-_RESIGN_POLL = timedelta(milliseconds=20)
+# After a power loss, daemons restart within a second of each other.
+_MAX_HELLOS = 10
+_HELLO_TIMEOUT = timedelta(milliseconds=200)
+_HELLO_INTERVAL = timedelta(milliseconds=100)
+_RESIGN_POLL_INTERVAL = timedelta(milliseconds=20)
 _RESIGN_TIMEOUT = timedelta(seconds=1)
 
 
 class Scheduler(Service):
-    """Schedules while this entry holds the lease row, else points to who does."""
+    """Schedules while this entry holds the lease row, else refers to the holder."""
 
     def __init__(
         self,
@@ -95,10 +95,10 @@
         self._metrics = metrics
         self._adviser = adviser
         self._active: ActiveScheduler | None = None
-        self._is_leaving = False
+        self._is_stopping = False
 
     def add_handlers(self, handlers: CallHandlers) -> None:
-        """Answer the calls of attendants and other entries."""
+        """Register handlers for the calls of attendants and other entries."""
         handlers.add(PING, self._handle_ping)
         handlers.add(REPORT, self._handle_report)
         handlers.add(TELL, self._handle_tell)
@@ -110,43 +110,43 @@
         task_status.started()
         await self._mirror.loaded.wait()
         while True:
-            active = await self._win()
+            active = await self._acquire()
             try:
-                await self._lead(active)
+                await self._run_active(active)
             except* LeaseLost as group:
-                reason = str(next(iter(_leaves(group))))
+                reason = str(next(iter(_flatten(group))))
                 log_event("scheduler:deposed", name=self._name, reason=reason)
             finally:
                 self._active = None
 
     async def stop(self) -> None:
-        """Hand over: with the row free another entry need not wait."""
-        self._is_leaving = True
+        """Release the lease row, so that another entry can take over at once."""
+        self._is_stopping = True
         if self._active is None:
             return
         self._active.resign()
         with trio.move_on_after(_RESIGN_TIMEOUT.total_seconds()):
             while self._active is not None:
-                await self._clock.sleep(_RESIGN_POLL)
+                await self._clock.sleep(_RESIGN_POLL_INTERVAL)
 
-    # For the entry's own callers.
+    # Calls from this entry.
 
     async def notify_accepted(self, job: AcceptedJob) -> None:
-        """Let the scheduler know of a job that has just been stored."""
+        """Notify the scheduler of a job that has just been stored."""
         if self._active is not None:
             self._active.notify_accepted(job)
             return
-        await self._tell(Tell(accepted=[job]))
+        await self._notify(Tell(accepted=[job]))
 
     async def notify_cancelled(self, job: JobId) -> None:
-        """Let the scheduler know of a cancellation that has just been stored."""
+        """Notify the scheduler of a cancellation that has just been stored."""
         if self._active is not None:
             self._active.notify_cancelled(job)
             return
-        await self._tell(Tell(cancelled=[job]))
+        await self._notify(Tell(cancelled=[job]))
 
     async def query_state(self, job: JobId) -> JobState | None:
-        """Return the scheduler's word on a job, none if it cannot be had."""
+        """Return the state of a job from the scheduler, None if unavailable."""
         if self._active is not None:
             return self._active.state_of(job)
         row = self._watch.row
@@ -162,65 +162,65 @@
         return reply.state
 
     def known_pressures(self) -> list[Pressure]:
-        """Return how images disturb one another; empty at other entries."""
+        """Return the interference between images; empty if not the scheduler."""
         return [] if self._active is None else self._active.cluster.pressures.all()
 
     def replan(self) -> None:
-        """Plan anew, since the config has changed."""
+        """Start a new round, because the config has changed."""
         if self._active is not None:
             self._active.wake()
 
     def observe_cancelled(self, job: JobId) -> None:
-        """Take in a cancellation seen in the table."""
+        """Process a cancellation read from the table."""
         if self._active is not None:
             self._active.notify_cancelled(job)
 
     def observe_accepted(self, job: AcceptedJob) -> None:
-        """Take in a job seen in the table."""
+        """Process a job read from the table."""
         if self._active is not None:
             self._active.notify_accepted(job)
 
-    # Taking over.
+    # Takeover.
 
-    async def _win(self) -> ActiveScheduler:
-        """Return once this entry has taken the lease row over."""
+    async def _acquire(self) -> ActiveScheduler:
+        """Take the lease row over as soon as it is free."""
         while True:
-            if not self._is_leaving and self._holder.current.version:
-                # The row as judged is the one to take over: another entry may
-                # have written it since, and must not be robbed of it unjudged.
+            if not self._is_stopping and self._holder.current.version:
+                # Take over the version that was checked: another entry may write the
+                # row during the check, and must then be checked in turn.
                 row, version = self._watch.row, self._watch.version
                 status = await self._watch.check_holder()
                 if status.is_free:
-                    active = await self._claim(row, version, status.value)
+                    active = await self._try_take_over(row, version, status.value)
                     if active is not None:
                         return active
-            await self._clock.sleep(_POLL)
+            await self._clock.sleep(_POLL_INTERVAL)
 
-    async def _claim(
-        self, seen: LeaseRow | None, version: int, why: str
+    async def _try_take_over(
+        self, previous: LeaseRow | None, version: int, why: str
     ) -> ActiveScheduler | None:
         await self._clock.sleep(
             timedelta(seconds=self._random.uniform(0, _MAX_STAGGER_S))
         )
         lease = LeaseRow(
-            epoch=1 if seen is None else seen.epoch + 1,
+            epoch=1 if previous is None else previous.epoch + 1,
             holder=self._name,
             incarnation=self._incarnation,
             address=self._address,
         )
         silent_until = {}
-        if seen is not None:
+        if previous is not None:
             silent_until = {
-                worker: self._watch.changed + timedelta(milliseconds=left)
-                for worker, left in seen.silent_ms.items()
+                worker: self._watch.changed_at + timedelta(milliseconds=remaining_ms)
+                for worker, remaining_ms in previous.silent_ms.items()
             }
         put = Put.of(LEASE_KEY, version, lease)
         sent = self._clock.elapsed()
         try:
             outcome = await self._table.commit(Transaction(puts=[put]))
         except TableUnavailable as error:
-            # If it was written after all, the row shows this process as holder
-            # and the next look at it goes on from there.
+            # If the write succeeded after all, the row names this process as holder,
+            # and the next check finds it abandoned.
             log_event("scheduler:claim-failed", reason=str(error))
             return None
         if isinstance(outcome, Failure):
@@ -242,10 +242,10 @@
             metrics=self._metrics,
         )
 
-    async def _lead(self, active: ActiveScheduler) -> None:
+    async def _run_active(self, active: ActiveScheduler) -> None:
         self._active = active
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._introduce, active.lease)
+            nursery.start_soon(self._announce, active.lease)
             active.load(await read_stored_state(self._table, clock=self._clock))
             nursery.start_soon(
                 partial(
@@ -270,45 +270,45 @@
             await active.run()
             nursery.cancel_scope.cancel()
 
-    async def _introduce(self, lease: LeaseRow) -> None:
-        """Tell attendants whom to report to.
+    async def _announce(self, lease: LeaseRow) -> None:
+        """Announce the scheduler to the attendants.
 
-        They would find out by themselves when the scheduler before is silent, but
-        not when it is cut off from the table alone and still answers them.
+        They find a new scheduler by themselves when the previous one is silent, but
+        not when that one is only cut off from the table and still answers them.
         """
         hello = Hello(epoch=lease.epoch, scheduler=lease.address)
         async with trio.open_nursery() as nursery:
             for member in await self._read_members():
                 if member.role is Role.WORKER:
-                    nursery.start_soon(self._greet, member.address, hello)
+                    nursery.start_soon(self._send_hello, member.address, hello)
 
     async def _read_members(self) -> list[MemberRow]:
-        """Return the members, asking until the table answers.
+        """Return the members, retrying until the table answers.
 
-        Schedulers change when the table has just failed. Asked once only, it would
-        leave the attendants to find the new one with their next reports.
+        The scheduler often changes just after the table has failed. Without retries,
+        attendants would find the new scheduler only with their next reports.
         """
         while True:
             try:
                 return await read_members(self._table)
             except TableUnavailable as error:
                 log_event("scheduler:not-introduced", reason=str(error))
-                await self._clock.sleep(_GREETING_PAUSE)
+                await self._clock.sleep(_HELLO_INTERVAL)
 
-    async def _greet(self, address: Address, hello: Hello) -> None:
-        for _ in range(_GREETINGS):
+    async def _send_hello(self, address: Address, hello: Hello) -> None:
+        for _ in range(_MAX_HELLOS):
             try:
-                await self._peers.call(address, HELLO, hello, timeout=_GREETING_TIMEOUT)
+                await self._peers.call(address, HELLO, hello, timeout=_HELLO_TIMEOUT)
                 return
             except CommunicationError as error:
-                # It may be starting, or gone for good; later it finds the scheduler
-                # by itself.
+                # The attendant may be starting or gone. It finds the scheduler by
+                # itself later.
                 log_event(
                     "scheduler:greeting-failed", peer=str(address), reason=str(error)
                 )
-            await self._clock.sleep(_GREETING_PAUSE)
+            await self._clock.sleep(_HELLO_INTERVAL)
 
-    # What others call.
+    # Handlers of calls.
 
     async def _handle_ping(self, ping: Ping) -> PingReply:
         epoch = 0 if self._active is None else self._active.lease.epoch
@@ -333,19 +333,19 @@
         state = None if self._active is None else self._active.state_of(query.job)
         return StateReply(state=state)
 
-    async def _tell(self, tell: Tell) -> None:
+    async def _notify(self, tell: Tell) -> None:
         row = self._watch.row
         if row is None or row.is_resigned:
             return
         try:
             await self._peers.call(row.address, TELL, tell, timeout=_CALL_TIMEOUT)
         except CommunicationError as error:
-            # The scheduler finds it in the table's changes a little later.
+            # The scheduler reads it from the table's changes shortly afterwards.
             log_event("scheduler:tell-failed", peer=str(row.address), reason=str(error))
 
 
-def _leaves(group: BaseExceptionGroup[LeaseLost]) -> list[BaseException]:
-    leaves: list[BaseException] = []
+def _flatten(group: BaseExceptionGroup[LeaseLost]) -> list[BaseException]:
+    flat: list[BaseException] = []
     for error in group.exceptions:
-        leaves += _leaves(error) if isinstance(error, BaseExceptionGroup) else [error]
-    return leaves
+        flat += _flatten(error) if isinstance(error, BaseExceptionGroup) else [error]
+    return flat
