--- a/coltsfoottray/scheduler/restore.py
+++ b/coltsfoottray/scheduler/restore.py
@@ -1,4 +1,4 @@
-"""Reads all that is stored of jobs, when a scheduler begins."""
+"""Reads the stored state of all jobs when a scheduler takes over."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 __all__ = ["StoredJob", "StoredState", "read_stored_state"]
 
-_RETRY = timedelta(milliseconds=200)
+_RETRY_INTERVAL = timedelta(milliseconds=200)
 
 
 @dataclass(kw_only=True)
 class StoredJob:
-    """One job as its rows tell it."""
+    """A job as its rows store it."""
 
     accepted: AcceptedJob
     record: JobRecord | None = None
@@ -39,14 +39,14 @@
 
 @dataclass(kw_only=True)
 class StoredState:
-    """All that is stored.
+    """The stored state of all jobs.
 
     Parameters
     ----------
-    orphans : list of Row
-        Progress of jobs whose other rows have been removed already.
+    orphan_rows : list of Row
+        Rows of jobs whose acceptance has been deleted.
     pressures : Row, optional
-        What was learned of how images disturb one another.
+        The measured interference between images.
     """
 
     jobs: list[StoredJob]
@@ -55,7 +55,7 @@
 
 
 async def read_stored_state(table: WatchedTable, *, clock: Clock) -> StoredState:
-    """Return all that is stored, asking until the table answers."""
+    """Return the stored state of all jobs, retrying until the table answers."""
     rows: list[Row] = []
 
     async def read(prefix: str) -> None:
@@ -65,7 +65,7 @@
                 return
             except TableUnavailable as error:
                 log_event("scheduler:load-retried", prefix=prefix, reason=str(error))
-                await clock.sleep(_RETRY)
+                await clock.sleep(_RETRY_INTERVAL)
 
     async with trio.open_nursery() as nursery:
         for prefix in [*job_shards(), RECORDS_PREFIX]:
