--- a/coltsfoottray/scheduler/sweep.py
+++ b/coltsfoottray/scheduler/sweep.py
@@ -1,7 +1,7 @@
-"""Removes the rows of jobs that ended long ago.
+"""Deletes the rows of jobs that ended long ago.
 
-A job's acceptance goes first and its progress last: between the two, after a crash,
-there must never be an acceptance without progress, which would be a new job.
+A job's acceptance is deleted first and its progress last: if the scheduler crashes in
+between, there must be no acceptance without progress, which would be a new job.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 __all__ = ["run_sweep_loop"]
 
-_PERIOD = timedelta(seconds=5)
-# At the size designed for 9,400 jobs end a day, one in nine seconds; a backlog of a
-# burst is worked off at four a second beside all other writes.
-_MAX_JOBS = 20
+_SWEEP_INTERVAL = timedelta(seconds=5)
+# At the design load, 9,400 jobs end per day, one every nine seconds. After a burst, the
+# backlog is deleted at four jobs per second alongside all other writes.
+_MAX_JOBS_PER_SWEEP = 20
 
 
 async def run_sweep_loop(
@@ -34,11 +34,11 @@
     clock: Clock,
     retention: timedelta,
 ) -> None:
-    """Remove what is older than `retention`, every few seconds."""
+    """Delete jobs that ended more than `retention` ago, every few seconds."""
     while True:
-        await clock.sleep(_PERIOD)
+        await clock.sleep(_SWEEP_INTERVAL)
         oldest = as_milliseconds(clock.now() - retention)
-        for job in active.jobs_ended_before(oldest)[:_MAX_JOBS]:
+        for job in active.jobs_ended_before(oldest)[:_MAX_JOBS_PER_SWEEP]:
             try:
                 if await _remove_acceptance(job, table, mirror):
                     active.forget(job)
@@ -48,7 +48,7 @@
 
 
 async def _remove_acceptance(job: JobId, table: WatchedTable, mirror: Mirror) -> bool:
-    """Remove the rows that make a job one; return whether they are gone."""
+    """Delete a job's acceptance and cancellation; return whether they are deleted."""
     version_by_key = {
         key: mirror.version_of(key) for key in (accepted_key(job), cancel_key(job))
     }
@@ -61,7 +61,7 @@
         return True
     outcome = await table.commit(Transaction(puts=puts))
     if isinstance(outcome, Failure):
-        # The copy of the rows is a little old; the next look has what is there.
+        # The mirror's versions were out of date; the next sweep reads newer ones.
         log_event("sweep:rows-changed", job=job)
         return False
     return True
