--- a/coltsfoottray/scheduler/orders.py
+++ b/coltsfoottray/scheduler/orders.py
@@ -1,4 +1,4 @@
-"""What attendants are told of the runs that their workers are to have."""
+"""Orders to attendants about the runs of their workers."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def missing_orders(worker: Worker, report: Report) -> Orders:
-    """Return the orders that a report shows to be missing.
+    """Return the orders that the worker lacks according to a report.
 
-    Of a worker in another life than the one known nothing is ordered yet.
+    A worker that reports another life than the known one gets no orders yet.
     """
     if report.life != worker.life:
         return Orders(session=worker.session, life=report.life)
@@ -38,7 +38,7 @@
 
 
 def make_start_order(placed: PlacedRun) -> StartOrder:
-    """Return the order to start a run."""
+    """Return the order that starts a run."""
     spec = placed.step.spec
     checkpoint_record = placed.step.checkpoint_record(placed.ref.task.index)
     return StartOrder(
