--- a/coltsfoottray/scheduler/messages.py
+++ b/coltsfoottray/scheduler/messages.py
@@ -38,15 +38,15 @@
 
 
 class StartOrder(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """A run that a worker is to have.
+    """An order to start a run on a worker.
 
     Parameters
     ----------
     ticket : str
-        Shows the worker that the queue's policy lets it run the step.
+        Proves to the worker that the queue's policy allows it to run the step.
     processors, estimate_ms, is_service, is_filler, target_latency_ms
-        See `StepSpec`; the attendant slows fillers down for the sake of those
-        with a target.
+        See `StepSpec`. The attendant throttles fillers to protect services that have
+        a target latency.
     """
 
     ref: RunRef
@@ -62,18 +62,18 @@
 
 
 class Orders(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """What a worker is to start and to stop.
+    """The runs that a worker must start and stop.
 
     Parameters
     ----------
     session : int
-        The orders are void for an attendant in another session: since then the
-        scheduler may have given the runs up and started them elsewhere.
+        The orders are void in any other session, since the scheduler may have given
+        the runs up and started them elsewhere.
     life : str
-        The worker's life that they are meant for; in another one the runs have
-        been given up as well.
+        The life of the worker that the orders are for. They are void in any other life
+        for the same reason.
     acknowledged : int
-        Ends up to this number are stored.
+        Run ends up to this number are stored.
     """
 
     session: int
@@ -84,47 +84,49 @@
 
 
 class RejectedStart(msgspec.Struct, frozen=True, kw_only=True):
-    """A start that certainly did not and will not happen."""
+    """A start that is guaranteed not to have happened and never to happen."""
 
     ref: RunRef
     reason: Refusal
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """What an attendant knows of its worker.
+    """An attendant's report on its worker.
 
     Parameters
     ----------
     worker : str
-        The attendant's name, which stands for the VM.
+        The attendant's name, which identifies the VM.
     incarnation : str
-        This life of the attendant.
+        The attendant's incarnation.
     session : int
-        The last one granted, 0 for none. A session is the fencing token of the
+        The last session granted, 0 for none. A session is the fencing token of the
         attendant's orders to the worker.
     looked : int
-        The session in which this life of the worker has last shown what it runs,
-        0 for none. No order of an earlier session takes effect there any more.
+        The session in which this life of the worker was last polled for its runs, 0
+        for none. Orders of earlier sessions no longer take effect on the worker.
     life : str
-        The worker's life, empty where none is known.
+        The worker's life, empty if unknown.
     number : int
-        Rises with each report of this attendant, so that a late one can be told.
+        Increases with each report of this attendant, so that reports that arrive out
+        of order are detected.
     lease_left_ms : int
-        For how long the worker may still run at the most, by what it was told. In a
-        report that shows no life of it this is a promise: it will be told no more
-        before the scheduler has granted another lease.
+        Upper bound on how long the worker may still run, by the lease it was sent. In
+        a report that does not show the worker alive this is a promise: the worker's
+        lease is not extended until the scheduler has granted another one.
     is_reachable : bool
-        Whether the worker answered its last look.
+        Whether the worker answered the last poll.
     is_replaced : bool
-        Another life under its id answers in its place, which has not reported itself.
+        Whether a new life, which has sent no heartbeat yet, answers under the worker's
+        id.
     starting : list of RunRef
-        Starts of which it is not known yet what became of them.
+        Starts whose outcome is not known yet.
     stalled : list of RunRef
         Runs that make no progress.
     pressures : list of Pressure
-        How images disturb one another, as seen here.
+        Interference between images, as measured on this worker.
     margin_by_image : dict
-        By image of a service, the least margin that its tasks have without fillers.
+        For each image of a service, the smallest margin of its tasks without fillers.
     """
 
     worker: str
@@ -154,30 +156,31 @@
 
     @property
     def is_worker_alive(self) -> bool:
-        """Whether a life of the worker is known and answers its attendant."""
+        """Whether the worker's life is known and answers its attendant."""
         return self.is_reachable and bool(self.life)
 
 
 class ReportReply(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """The scheduler's answer.
+    """An entry's reply to a report.
 
     Parameters
     ----------
     scheduler : Address, optional
-        Whom to report to; absent where none is known.
+        The scheduler's address, None if unknown.
     is_scheduler : bool
-        Whether the answering entry is the scheduler; the rest holds only then.
+        Whether the replying entry is the scheduler. The other fields are valid only
+        then.
     epoch : int
-        Rises with each change of the scheduler. An attendant that has heard of
-        one takes nothing from a scheduler of a lower one.
+        Increases with each change of the scheduler. An attendant that knows an epoch
+        ignores schedulers of a lower one.
     lease_ms : int
-        How long the worker may run from the moment the report was sent; 0 where the
-        report shows no life of it.
+        How long the worker may run from the time the report was sent, 0 if the report
+        does not show the worker alive.
     is_lease_pending : bool
-        The lease row lists the worker as silent; it gets a lease as soon as another
-        row stands.
+        Whether the worker gets no lease only because the lease row lists it as silent;
+        it gets one as soon as the row has been written again.
     pressures : list of Pressure
-        How images disturb one another, as seen everywhere.
+        Interference between images, as measured on all workers.
     """
 
     scheduler: Address | None = None
@@ -190,21 +193,27 @@
 
 
 class Hello(msgspec.Struct, frozen=True, kw_only=True):
-    """Names the scheduler to an attendant; of several the highest epoch counts."""
+    """Announces the scheduler to an attendant; the highest epoch is valid."""
 
     epoch: int
     scheduler: Address
 
 
 class Tell(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Stored acceptances and cancellations, told to save the wait for the feed."""
+    """Stored acceptances and cancellations, sent because the change feed is slower."""
 
     accepted: list[AcceptedJob] = msgspec.field(default_factory=list)
     cancelled: list[JobId] = msgspec.field(default_factory=list)
 
 
 class Acknowledged(msgspec.Struct, frozen=True, kw_only=True):
-    """Done."""
+    """Acknowledges a call.
+
+    Parameters
+    ----------
+    is_scheduler : bool
+        False if an entry that received a `Tell` is not the scheduler.
+    """
 
     is_scheduler: bool = True
 
@@ -216,17 +225,25 @@
 
 
 class StateReply(msgspec.Struct, frozen=True, kw_only=True):
-    """A job's stored state, none where the scheduler does not know the job."""
+    """A job's stored state, None if the scheduler does not know the job."""
 
     state: JobState | None = None
 
 
 class Ping(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks who is there."""
+    """Asks for the incarnation of the process at an address."""
 
 
 class PingReply(msgspec.Struct, frozen=True, kw_only=True):
-    """The life of the process that answers, and the epoch in which it leads."""
+    """The replying process.
+
+    Parameters
+    ----------
+    incarnation : str
+        Its incarnation.
+    epoch : int
+        Its epoch as the scheduler, 0 if it is not the scheduler.
+    """
 
     incarnation: str
     epoch: int = 0
