--- a/tests/scheduler/ends.feature
+++ b/tests/scheduler/ends.feature
@@ -1,31 +1,31 @@
-Feature: How a run ended counts, also where its start is asked for again
+Feature: The outcome of a run counts even if its start is requested again
 
-  Scenario: A run fails while its start is asked for again, and a look is lost
-    # Guards against a failure that isn't counted, and an attempt too many.
+  Scenario: A run fails while its start is requested again, and a poll reply is lost
+    # Guards against a failure that is not counted, which allows one attempt too many.
     Given two entries and 1 workers for jobs
     When the failing job "a" of 1 steps with 1 tasks of 4 s is handed in at entry-1
     And 1 s pass
     And worker-1 is killed and started anew after 1 s
-    And what runs on worker-1 ends right after its new attendant's first look
-    And the answer to worker-1's next look is lost
+    And what runs on worker-1 ends right after its new attendant's first poll
+    And the answer to worker-1's next poll is lost
     Then the job "a" is "failed" within 15 s
     And 2 tasks were started in all
     And no task ran twice at a time or after its end
 
-  Scenario: A run is done while its start is asked for again, and a look is lost
-    # Guards against a refused start taken for a stop, and a task begun after its end.
+  Scenario: A run completes while its start is requested again, and a poll reply is lost
+    # Guards against a refused start recorded as a stop, so that a done task restarts.
     Given two entries and 1 workers for jobs
     When the job "a" of 1 steps with 1 tasks of 4 s is handed in at entry-1
     And 1 s pass
     And worker-1 is killed and started anew after 1 s
-    And what runs on worker-1 ends right after its new attendant's first look
-    And the answer to worker-1's next look is lost
+    And what runs on worker-1 ends right after its new attendant's first poll
+    And the answer to worker-1's next poll is lost
     Then the job "a" is "completed" within 15 s
     And 1 tasks were started in all
     And no task ran twice at a time or after its end
 
-  Scenario: More runs ended beside a dead attendant than a look lists
-    # Guards against ends beyond the 500 listed that are taken for runs never there.
+  Scenario: More runs end while the attendant is dead than one poll lists
+    # Guards against ends beyond the 500 listed, mistaken for runs that never existed.
     Given two entries and 1 workers for jobs
     When the job "a" of 520 small tasks of 4 s is handed in at entry-1
     And 1 s pass
@@ -34,48 +34,48 @@
     And 520 tasks were started, each once
     And no task ran twice at a time or after its end
 
-  Scenario: More runs ended than a look lists, and none is acknowledged for a while
-    # Guards against the same, while the store is down and the same ends come again.
+  Scenario: More runs end than one poll lists, and none is acknowledged for a while
+    # Guards against the same while the store is down, so that each poll repeats the ends.
     Given two entries and 1 workers for jobs
     When the job "a" of 520 small tasks of 4 s is handed in at entry-1
     And 1 s pass
     And worker-1 is killed and started anew after 4 s
-    And the store is down from worker-1's next look on
+    And the store is down from worker-1's next poll on
     And 2 s pass
     And 1 s pass with the store up again
     Then the job "a" is "completed" within 15 s
     And 520 tasks were started, each once
     And no task ran twice at a time or after its end
 
-  Scenario: More runs ended than a look lists, and answers to starts are lost
-    # Guards against the same, where refusals were lost and runs are stopped first.
+  Scenario: More runs end than one poll lists, and answers to starts are lost
+    # Guards against the same when refusals are lost and runs are stopped first.
     Given two entries and 1 workers for jobs
     When the job "a" of 520 small tasks of 4 s is handed in at entry-1
     And 1 s pass
     And the answers to the next 520 starts at worker-1 are lost
     And worker-1 is killed and started anew after 4 s
-    And the store is down from worker-1's next look on
+    And the store is down from worker-1's next poll on
     And 2 s pass
     And 1 s pass with the store up again
     Then the job "a" is "completed" within 15 s
     And 520 tasks were started, each once
     And no task ran twice at a time or after its end
 
-  Scenario: A run is done at a worker that then takes nothing new
-    # Guards against a refusal by an unhealthy worker that hides an end.
+  Scenario: A run completes on a worker that then refuses new starts
+    # Guards against a refusal by an unhealthy worker that hides the end of a run.
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 2 tasks of 4 s is handed in at entry-1
     And 1 s pass
     And worker-1 is killed and started anew after 1 s
-    And what runs on worker-1 ends right after its new attendant's first look
-    And the answer to worker-1's next look is lost
+    And what runs on worker-1 ends right after its new attendant's first poll
+    And the answer to worker-1's next poll is lost
     And worker-1's machine is unhealthy for 500 ms
     Then the job "a" is "completed" within 15 s
     And 2 tasks were started, each once
     And no task ran twice at a time or after its end
 
-  Scenario: An attendant starts anew beside a worker that drains
-    # Guards against starts refused for draining of runs that are at work.
+  Scenario: An attendant restarts while its worker drains
+    # Guards against a start of a running task refused because the worker drains.
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 4 tasks of 4 s is handed in at entry-1
     And 1 s pass
@@ -85,32 +85,32 @@
     And 4 tasks were started, each once
     And no task ran twice at a time or after its end
 
-  Scenario: A start that is slow on its way is overtaken by the next scheduler's
-    # Guards against a start shut out by a newer session taken for its task's end.
+  Scenario: A start delayed in transit arrives after the next scheduler's start
+    # Guards against a start fenced off by a newer session, mistaken for its task's end.
     Given two entries and 2 workers for jobs
     When the job "b" of 1 steps with 2 tasks of 60 s is handed in at entry-1
     And 1 s pass
-    And the next 1 starts at worker-1 are slow on their way
+    And the next 1 starts at worker-1 are delayed in transit
     And the job "a" of 1 steps with 2 tasks of 4 s is handed in at entry-1
     And 50 ms pass
-    And the scheduler hands over, and worker-1 is in a session of the next one
+    And the scheduler resigns, and worker-1 has a session with the next one
     And 60 ms pass
     And what runs on worker-1 ends
     Then the job "a" is "completed" within 15 s
     And 4 tasks were started, each once
     And no task ran twice at a time or after its end
 
-  Scenario: A start asked for twice is refused in a session that is over
-    # Guards against a cancelled task whose stop is passed over in the next session.
+  Scenario: A start that is sent twice is refused because its session is over
+    # Guards against a cancelled task that is not stopped in the next session.
     Given two entries and 2 workers for jobs
     When the job "b" of 1 steps with 2 tasks of 60 s is handed in at entry-1
     And 1 s pass
     And the next 1 starts at worker-1 are carried out late
     And the job "a" of 1 steps with 2 tasks of 60 s is handed in at entry-1
     And 750 ms pass
-    And the next 1 starts at worker-1 are slow on their way
+    And the next 1 starts at worker-1 are delayed in transit
     And 100 ms pass
-    And the scheduler hands over, and worker-1 is in a session of the next one
+    And the scheduler resigns, and worker-1 has a session with the next one
     And 60 ms pass
     And what runs on worker-1 ends
     And 1 s pass
@@ -120,8 +120,8 @@
     Then nothing runs on worker-1
     And no task ran twice at a time or after its end
 
-  Scenario: The answer to a start is lost, and the run has ended before it is asked again
-    # Guards against a start asked for again after its run was stored as done.
+  Scenario: The answer to a start is lost, and the run ends before the start is sent again
+    # Guards against a start that is sent again after its run was stored as done.
     Given two entries and 1 workers for jobs
     And the answers to the next 1 starts at worker-1 are lost
     When the job "a" of 1 steps with 1 tasks of 0 s is handed in at entry-1
@@ -134,11 +134,11 @@
     And 1 tasks were started in all
 
   Scenario: A start is refused because its run has just ended
-    # Guards against an end, not shown yet, that a refusal stands in for.
+    # Guards against a refusal recorded in place of an end that no poll has shown yet.
     Given two entries and 1 workers for jobs
     When the job "a" of 1 steps with 1 tasks of 3 s is handed in at entry-1
     And 1 s pass
-    And worker-1 starts anew just before its task ends, and one look goes unanswered
+    And worker-1 restarts just before its task ends, and one poll goes unanswered
     And 3 s pass
     Then no task ran twice at a time or after its end
     And 1 tasks were started in all
--- a/tests/scheduler/found.feature
+++ b/tests/scheduler/found.feature
@@ -1,7 +1,7 @@
-Feature: A start that is sent again is not refused for a run that is there
+Feature: A start that is sent again is not refused if its run exists
 
-  Scenario: A worker drains, and its attendant starts anew
-    # Guards against a refused start that is taken for a run that does not exist.
+  Scenario: A worker drains, and its attendant restarts
+    # Guards against a refused start mistaken for proof that the run does not exist.
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
     And 2 s pass
--- a/tests/scheduler/fuzz.feature
+++ b/tests/scheduler/fuzz.feature
@@ -1,17 +1,17 @@
-Feature: Jobs under every fault at once
+Feature: Jobs under random combinations of faults
 
   Scenario: No order of faults loses or doubles a task of a job
-    # Daemons, workers, links and the store fail in any order; the oracle knows what runs.
+    # Daemons, workers, links and the store fail in any order; the oracle tracks all runs.
     Then the machine "jobs" finds nothing in 25 runs of 20 steps
 
-  Scenario: The oracle sees a run that is given up too early
-    # Planted: a worker that is silent is given up while its lease still runs.
+  Scenario: The oracle detects a run that is given up too early
+    # Planted fault: a silent worker is given up before its lease has expired.
     Then with the planted fault "runs given up early" the machine "jobs" fails
 
-  Scenario: The oracle sees a refusal that is not true
-    # Planted: a job whose acceptance is open is refused as one that will never run.
+  Scenario: The oracle detects a false refusal
+    # Planted fault: a job whose acceptance may be stored is refused as never to run.
     Then with the planted fault "refusals without proof" the machine "jobs" fails
 
-  Scenario: The oracle sees runs that a lost worker holds for ever
-    # Planted: a worker's lease is prolonged by an attendant that does not reach it.
+  Scenario: The oracle detects runs that a lost worker holds forever
+    # Planted fault: an attendant that cannot reach its worker extends the worker's lease.
     Then with the planted fault "leases renewed for workers out of reach" the machine "jobs" fails
--- a/tests/scheduler/gone.feature
+++ b/tests/scheduler/gone.feature
@@ -1,14 +1,14 @@
-Feature: What ran on a worker that is gone for good runs again elsewhere
+Feature: Runs of a permanently lost worker are restarted elsewhere
 
-  # Users take a task that lasts for lost if, with room for it and everything else calm
-  # for 4 s, it has no run for 3 s: 7 s after the last trouble all tasks run.
+  # Users consider a long-running task lost if it has no run for 3 s although there is
+  # room and nothing has failed for 4 s: 7 s after the last fault, all tasks must run.
 
-  Scenario: A worker is gone, and the scheduler that heard so is replaced
-    # Guards against a dead worker's lease renewed by its attendant's reports.
+  Scenario: A worker is lost, and the scheduler that was told is replaced
+    # Guards against a lost worker's lease that its attendant's reports renew.
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
     And 2 s pass
-    And worker-1's machine is gone for good
+    And worker-1's machine is lost permanently
     And 4 s pass
     And the store is down from now on
     And 4 s pass
@@ -17,34 +17,34 @@
     Then 4 tasks run
     And no task ran twice at a time or after its end
 
-  Scenario: A worker is gone, and its attendant starts anew
-    # Guards against a lease granted to an attendant that has no worker to see.
+  Scenario: A worker is lost, and its attendant restarts
+    # Guards against a lease granted to an attendant that cannot reach its worker.
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
     And 2 s pass
-    And worker-1's machine is gone for good
+    And worker-1's machine is lost permanently
     And worker-1 is killed and started anew after 1 s
     And 7 s pass
     Then 4 tasks run
     And no task ran twice at a time or after its end
 
-  Scenario: A worker is gone, and every process loses power
-    # Guards against runs held for a lease that began before the attendant's predecessor died.
+  Scenario: A worker is lost, and every process loses power
+    # Guards against holding runs for a lease granted before the last attendant died.
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
     And 2 s pass
-    And worker-1's machine is gone for good
+    And worker-1's machine is lost permanently
     And every daemon is killed and started anew
     And 7 s pass
     Then 4 tasks run
     And no task ran twice at a time or after its end
 
-  Scenario: A worker is gone, and the store fails as it goes
-    # Guards against news of a lapse that is said once, to a scheduler that is replaced.
+  Scenario: A worker is lost, and the store fails at the same time
+    # Guards against an expired lease reported only once, to a scheduler then replaced.
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
     And 2 s pass
-    And worker-1's machine is gone for good
+    And worker-1's machine is lost permanently
     And the store is down from now on
     And 7 s pass
     And the scheduler is killed
@@ -52,14 +52,14 @@
     Then 4 tasks run
     And no task ran twice at a time or after its end
 
-  Scenario: A word that a worker does not answer arrives seconds late
-    # Guards against an old report that shortens a lease granted since.
+  Scenario: A report of an unresponsive worker arrives seconds late
+    # Guards against an old report that shortens a lease granted after it was sent.
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
     And 2 s pass
-    And worker-1's machine falls silent
+    And worker-1's machine stops answering
     And 4 s pass
-    And what is sent to the scheduler for 1 s arrives late
+    And messages sent to the scheduler for 1 s arrive late
     And worker-1's machine answers again
     And 3 s pass
     And worker-1 is cut off from the entries and the store for 5 s
@@ -67,12 +67,12 @@
     Then 4 tasks run
     And no task ran twice at a time or after its end
 
-  Scenario: A worker answers again as its attendant is cut off
-    # Guards against a worker told of a lease that the scheduler has taken back.
+  Scenario: A worker answers again while its attendant is cut off
+    # Guards against a worker that is sent a lease which the scheduler has shortened.
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
     And 2 s pass
-    And worker-1's machine falls silent
+    And worker-1's machine stops answering
     And 3 s pass
     And worker-1's machine answers again
     And worker-1 is cut off from the entries and the store for 6 s
@@ -80,14 +80,14 @@
     Then 4 tasks run
     And no task ran twice at a time or after its end
 
-  Scenario: A word that a worker does not answer arrives after its attendant has died
+  Scenario: A report of an unresponsive worker arrives after its attendant has died
     # Guards against a dead attendant's report that shortens its successor's lease.
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
     And 2 s pass
-    And worker-1's machine falls silent
+    And worker-1's machine stops answering
     And 2 s pass
-    And what is sent to the scheduler for 1 s arrives late
+    And messages sent to the scheduler for 1 s arrive late
     And worker-1 is killed and started anew after 0 s
     And worker-1's machine answers again
     And 2 s pass
--- a/tests/scheduler/lost.feature
+++ b/tests/scheduler/lost.feature
@@ -1,7 +1,7 @@
-Feature: What was held on a worker that is lost, and by whom it is known
+Feature: Runs held by a lost worker, some unknown to the scheduler
 
-  Scenario: A worker lists a new life, is lost, and the scheduler is replaced
-    # Guards against a next scheduler that knows the lease, and not of the new life's starts.
+  Scenario: A worker reports a new life and is lost, and the scheduler is replaced
+    # Guards against a next scheduler that knows the lease but not the new life's starts.
     Given two entries and 2 workers for jobs
     When 10 s pass
     And 250 ms pass
@@ -9,7 +9,7 @@
     And the lasting job "a" of 1 steps with 6 tasks of 1 s is handed in at entry-1
     And 100 ms pass
     And worker-1's machine sends heartbeats again
-    And worker-1's machine falls silent
+    And worker-1's machine stops answering
     And 20 ms pass
     And worker-1 and its machine are lost
     And 4 s pass
@@ -18,72 +18,72 @@
     Then 6 tasks run
     And no task ran twice at a time or after its end
 
-  Scenario: A new life carries out a start seconds late and holds it for a whole lease
-    # Guards against a start that the next life runs unheard while it begins elsewhere.
+  Scenario: A new life carries out a start seconds late and runs it for a whole lease
+    # Guards against a start that a new life runs unreported while it runs elsewhere.
     Given two entries and 2 workers for jobs
     And the next 6 starts at worker-1 are carried out late
     When 10 s pass
     And the lasting job "a" of 1 steps with 6 tasks of 1 s is handed in at entry-1
     And 50 ms pass
     And worker-1's machine crashes and reports at once
-    And worker-1's machine falls silent
+    And worker-1's machine stops answering
     And 20 s pass
     Then 6 tasks run
     And no task ran twice at a time or after its end
 
-  Scenario: The new scheduler cannot read who is there
-    # Guards against a scheduler that introduces itself to nobody after one failed reading.
+  Scenario: The new scheduler cannot read the members
+    # Guards against a scheduler that announces itself to no one after one failed read.
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
     And 2 s pass
-    And the scheduler loses the store for good
+    And the scheduler is cut off permanently from the store and the other entries
     And another scheduler has taken over, and cannot read the store for 3000 ms
     And 12 s pass
     Then 4 tasks run
     And 4 tasks were started, each once
 
-  Scenario: A new life takes a start, and nobody hears of that life
-    # Guards against a lease counted by the old life's clock for what the new one runs.
+  Scenario: A new life accepts a start and is never reported
+    # Guards against a lease measured by the old life's clock for a run of the new one.
     Given two entries and 2 workers for jobs
     When 10 s pass
     And 250 ms pass
     And worker-1's machine crashes and sends no heartbeats
     And the lasting job "a" of 1 steps with 6 tasks of 1 s is handed in at entry-1
     And 100 ms pass
-    And worker-1's machine falls silent
+    And worker-1's machine stops answering
     And 20 s pass
     Then 6 tasks run
     And no task ran twice at a time or after its end
 
-  Scenario: A new life takes a start, and its attendant starts anew without it
-    # Guards against the same, where the attendant that knew of it has died.
+  Scenario: A new life accepts a start, and its attendant restarts without knowing it
+    # Guards against the same when the attendant that knew of the start has died.
     Given two entries and 2 workers for jobs
     When 10 s pass
     And 250 ms pass
     And worker-1's machine crashes and sends no heartbeats
     And the lasting job "a" of 1 steps with 6 tasks of 1 s is handed in at entry-1
     And 100 ms pass
-    And worker-1's machine falls silent
+    And worker-1's machine stops answering
     And worker-1 is killed and started anew after 0 s
     And 20 s pass
     Then 6 tasks run
     And no task ran twice at a time or after its end
 
-  Scenario: A late word that a worker leaves arrives as it is silent for a moment
-    # Guards against an old notice and one unanswered look taken for a worker's end.
+  Scenario: A late notice that a worker leaves arrives while it does not answer
+    # Guards against an old notice and one unanswered poll mistaken for a worker's end.
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
     And 2 s pass
-    And a late word that worker-1's machine leaves arrives
-    And worker-1's machine falls silent
+    And a late notice that worker-1's machine leaves arrives
+    And worker-1's machine stops answering
     And 2 s pass
     And worker-1's machine answers again
     And 2 s pass
     Then no task ran twice at a time or after its end
 
-  Scenario: A worker that answers looks takes no start
-    # Guards against a start asked for again without end where it is never answered.
+  Scenario: A worker that answers polls accepts no start
+    # Guards against a start that is retried forever because it is never answered.
     Given two entries and 2 workers for jobs
-    And worker-1's machine answers looks and never takes a start
+    And worker-1's machine answers polls but never accepts a start
     When the job "a" of 1 steps with 2 tasks of 1 s is handed in at entry-1
     Then the job "a" is "completed" within 60 s
--- a/tests/scheduler/one_run.feature
+++ b/tests/scheduler/one_run.feature
@@ -1,7 +1,7 @@
 Feature: A job's tasks run once, whatever fails around the scheduler
 
   Scenario: A job of two steps
-    # Guards against a step begun before the one it waits for, and tasks started twice.
+    # Guards against a step started before the step it depends on, and duplicate starts.
     Given two entries and 2 workers for jobs
     When the job "a" of 2 steps with 3 tasks of 1 s is handed in at entry-1
     Then the job "a" is "completed" within 10 s
@@ -9,7 +9,7 @@
     And no task ran twice at a time or after its end
 
   Scenario: The scheduler dies while tasks run
-    # Guards against a next scheduler that starts anew what runs.
+    # Guards against a new scheduler that restarts running tasks.
     Given two entries and 2 workers for jobs
     When the job "a" of 2 steps with 3 tasks of 4 s is handed in at entry-1
     And 2 s pass
@@ -19,7 +19,7 @@
     And no task ran twice at a time or after its end
 
   Scenario: Every process loses power right after a job was accepted
-    # Guards against a job forgotten of which only the acceptance is stored.
+    # Guards against losing a job of which only the acceptance is stored.
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 2 tasks of 1 s is handed in at entry-1
     And every daemon is killed and started anew
@@ -27,7 +27,7 @@
     And no task ran twice at a time or after its end
 
   Scenario: Every process loses power while tasks run
-    # Guards against tasks started elsewhere while their workers go on under leases.
+    # Guards against tasks started elsewhere while their workers still hold leases.
     Given two entries and 3 workers for jobs
     When the job "a" of 1 steps with 4 tasks of 5 s is handed in at entry-1
     And 1 s pass
@@ -36,7 +36,7 @@
     And 4 tasks were started, each once
     And no task ran twice at a time or after its end
 
-  Scenario: The scheduler freezes and wakes
+  Scenario: The scheduler freezes and resumes
     # Guards against orders and writes of a scheduler that has been replaced.
     Given two entries and 2 workers for jobs
     When the job "a" of 3 steps with 3 tasks of 2 s is handed in at entry-1
@@ -46,7 +46,7 @@
     And no task ran twice at a time or after its end
 
   Scenario: An attendant dies and comes back within the lease
-    # Guards against tasks started again because a new attendant knows nothing of them.
+    # Guards against tasks restarted because a new attendant does not know them.
     Given two entries and 1 workers for jobs
     When the job "a" of 1 steps with 3 tasks of 5 s is handed in at entry-1
     And 1 s pass
@@ -56,7 +56,7 @@
     And no task ran twice at a time or after its end
 
   Scenario: A worker crashes and comes back empty
-    # Guards against waiting for the lease of a life that has surely ended.
+    # Guards against waiting for the lease of a life that is certain to have ended.
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 4 tasks of 3 s is handed in at entry-1
     And 1 s pass
@@ -64,16 +64,16 @@
     Then the job "a" is "completed" within 10 s
     And no task ran twice at a time or after its end
 
-  Scenario: A worker crashes, and its new life takes a start meant for the old one
-    # Guards against runs given up with the old life that the new one has taken.
+  Scenario: A worker crashes, and its new life accepts a start meant for the old one
+    # Guards against giving up runs with the old life that the new life has accepted.
     Given two entries and 2 workers for jobs
     When worker-1's machine crashes
     And the job "a" of 1 steps with 6 tasks of 4 s is handed in at entry-1
     Then the job "a" is "completed" within 15 s
     And no task ran twice at a time or after its end
 
-  Scenario: A worker's new life answers before it has reported itself
-    # Guards against the same, where a look is the first to show the new life.
+  Scenario: A worker's new life answers before it has sent a heartbeat
+    # Guards against the same when a poll is the first to show the new life.
     Given two entries and 2 workers for jobs
     When 250 ms pass
     And worker-1's machine crashes and sends no heartbeats
@@ -83,8 +83,8 @@
     Then the job "a" is "completed" within 15 s
     And no task ran twice at a time or after its end
 
-  Scenario: A worker's new life takes a late start and is not heard of
-    # Guards against a lease counted by the old life's clock for a start that came late.
+  Scenario: A worker's new life accepts a late start and is never reported
+    # Guards against a lease measured by the old life's clock for a start that came late.
     Given two entries and 2 workers for jobs
     And the next 3 starts at worker-1 are carried out late
     When 30 s pass
@@ -95,8 +95,8 @@
     Then no task ran twice at a time or after its end
     And the job "a" is "completed" within 60 s
 
-  Scenario: A worker's new life has ended a task before it has reported itself
-    # Guards against an acknowledgement of the old life's ends that reaches the new one.
+  Scenario: A worker's new life ends a task before it has sent a heartbeat
+    # Guards against an acknowledgement of the old life's ends applied to the new life.
     Given two entries and 1 workers for jobs
     When the job "a" of 1 steps with 1 tasks of 1 s is handed in at entry-1
     And 2 s pass
@@ -108,8 +108,8 @@
     Then the job "b" is "completed" within 10 s
     And no task ran twice at a time or after its end
 
-  Scenario: A worker is back that the scheduler lists as silent
-    # Guards against a worker that is back and idle until the next renewal.
+  Scenario: A worker that the scheduler lists as silent comes back
+    # Guards against a worker that is back but idle until the next renewal.
     Given two entries and 1 workers for jobs
     When the job "a" of 1 steps with 1 tasks of 60 s is handed in at entry-1
     And 1 s pass
@@ -119,8 +119,8 @@
     And 250 ms pass
     Then 1 tasks run
 
-  Scenario: A worker is back that the scheduler lists as silent, beside a dead entry
-    # Guards against an attendant that leaves a scheduler which has yet to grant it a lease.
+  Scenario: A worker that is listed as silent comes back while the other entry is dead
+    # Guards against an attendant that leaves a scheduler whose lease is still pending.
     Given two entries and 1 workers for jobs
     When the job "a" of 1 steps with 1 tasks of 60 s is handed in at entry-1
     And 1 s pass
@@ -131,18 +131,18 @@
     And 250 ms pass
     Then 1 tasks run
 
-  Scenario: A worker's new life says that it is there and then answers nobody
-    # Guards against runs that wait for ever to be shown by a new life.
+  Scenario: A worker's new life sends a heartbeat and then answers no one
+    # Guards against waiting forever for a new life to show its runs.
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 4 tasks of 4 s is handed in at entry-1
     And 500 ms pass
     And worker-1's machine crashes and reports at once
-    And worker-1's machine falls silent
+    And worker-1's machine stops answering
     Then the job "a" is "completed" within 25 s
     And no task ran twice at a time or after its end
 
   Scenario: A start is refused after an earlier attempt went unanswered
-    # Guards against a start given up that the worker carries out late.
+    # Guards against giving up a start that the worker carries out late.
     Given two entries and 2 workers for jobs
     And the next 3 starts at worker-1 are carried out late
     When the job "a" of 1 steps with 6 tasks of 4 s is handed in at entry-1
@@ -151,8 +151,8 @@
     Then the job "a" is "completed" within 25 s
     And no task ran twice at a time or after its end
 
-  Scenario: A worker crashes before anybody has noted how its tasks ended
-    # Guards against tasks lost whose ends were listed and never stored.
+  Scenario: A worker crashes before the ends of its tasks are stored
+    # Guards against losing tasks whose ends were listed but never stored.
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
     And 500 ms pass
@@ -166,7 +166,7 @@
     And 6 tasks were started in all
 
   Scenario: A worker that crashed is used again at once
-    # Guards against a worker that is back and waits for its attendant's next report.
+    # Guards against a worker that is back but waits for its attendant's next report.
     Given two entries and 1 workers for jobs
     When the job "a" of 1 steps with 1 tasks of 60 s is handed in at entry-1
     And 1 s pass
@@ -174,10 +174,10 @@
     And 400 ms pass
     Then 1 tasks run
 
-  Scenario: All machines lose power while tasks save their progress
-    # Guards against saved work thrown away since only memory knew of it.
+  Scenario: All machines lose power while tasks write checkpoints
+    # Guards against losing checkpoints that were only known in memory.
     Given two entries and 1 workers for jobs
-    When the saving job "a" of 1 steps with 2 tasks of 8 s is handed in at entry-1
+    When the checkpointing job "a" of 1 steps with 2 tasks of 8 s is handed in at entry-1
     And 6 s pass
     And worker-1's machine crashes
     And every daemon is killed and started anew
@@ -194,7 +194,7 @@
     Then 1 tasks run
 
   Scenario: After a loss of power tasks are spread over all workers
-    # Guards against all that waits placed on the first worker to come back.
+    # Guards against placing all waiting tasks on the first worker to come back.
     Given two entries and 3 workers for jobs
     When the job "a" of 1 steps with 6 tasks of 60 s is handed in at entry-1
     And 1 s pass
@@ -204,17 +204,17 @@
     Then 12 tasks run
     And at most 4 tasks run on any worker
 
-  Scenario: A worker falls silent and runs on
-    # Guards against tasks started elsewhere before the silent worker's lease is over.
+  Scenario: A worker stops answering but keeps running
+    # Guards against tasks started elsewhere before the silent worker's lease expires.
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 4 tasks of 4 s is handed in at entry-1
     And 500 ms pass
-    And worker-1's machine falls silent
+    And worker-1's machine stops answering
     Then the job "a" is "completed" within 30 s
     And no task ran twice at a time or after its end
 
-  Scenario: An attendant is cut off from everything while its worker runs on
-    # Guards against the same, where nothing at all is heard of the worker.
+  Scenario: An attendant is cut off from everything while its worker keeps running
+    # Guards against the same when no report on the worker arrives at all.
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 4 tasks of 4 s is handed in at entry-1
     And 500 ms pass
@@ -239,7 +239,7 @@
     And 3 tasks were started, each once
     And no task ran twice at a time or after its end
 
-  Scenario: A worker that drains gets nothing new
+  Scenario: A draining worker gets no new tasks
     # Guards against tasks placed on a worker that is about to leave.
     Given two entries and 2 workers for jobs
     And worker-1's machine drains
@@ -249,15 +249,15 @@
     And nothing was started on worker-1
 
   Scenario: More tasks than the workers can hold
-    # Guards against starts beyond what a worker has.
+    # Guards against starts beyond a worker's capacity.
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 40 tasks of 1 s is handed in at entry-1
     Then the job "a" is "completed" within 20 s
     And no worker ever ran more than 8 tasks
     And no task ran twice at a time or after its end
 
-  Scenario: A worker leaves for good and takes its attendant along
-    # Guards against a service that waits for the lease of a worker that said it leaves.
+  Scenario: A worker leaves together with its attendant
+    # Guards against a service that waits for the lease of a worker that has left.
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
     And 2 s pass
@@ -266,8 +266,8 @@
     Then 4 tasks run
     And nothing runs on worker-1
 
-  Scenario: A worker says that it leaves and is gone before it was emptied
-    # Guards against the same, where its attendant lives on.
+  Scenario: A worker deregisters and leaves before its tasks have been moved
+    # Guards against the same when its attendant keeps running.
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
     And 2 s pass
@@ -276,8 +276,8 @@
     Then 4 tasks run
     And no task ran twice at a time or after its end
 
-  Scenario: The scheduler changes again and again while a worker is gone
-    # Guards against a lost worker's lease waited for anew by each scheduler.
+  Scenario: The scheduler changes repeatedly while a worker is lost
+    # Guards against each new scheduler waiting for a lost worker's lease from the start.
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 4 tasks of 3 s is handed in at entry-1
     And 1 s pass
--- a/tests/scheduler/store.feature
+++ b/tests/scheduler/store.feature
@@ -1,4 +1,4 @@
-Feature: The store's faults lose no job and stop no task
+Feature: Faults of the store lose no job and stop no task
 
   Scenario: The store is down while tasks run
     # Guards against tasks stopped by an outage shorter than their leases.
@@ -11,7 +11,7 @@
     And no task ran twice at a time or after its end
 
   Scenario: Answers of the store are lost after the write
-    # Guards against a scheduler that takes its own stored rows for another's.
+    # Guards against a scheduler that mistakes its own stored rows for another's.
     Given two entries and 2 workers for jobs
     And 1 s pass
     And the answers to the next 2 writes of the store are lost
@@ -20,7 +20,7 @@
     And no task ran twice at a time or after its end
 
   Scenario: Writes are carried out seconds later
-    # Guards against a late write that puts back a state in which ended tasks wait.
+    # Guards against a late write that restores a state in which ended tasks wait.
     Given two entries and 2 workers for jobs
     When the job "a" of 2 steps with 3 tasks of 1 s is handed in at entry-1
     And the job "b" of 2 steps with 3 tasks of 1 s is handed in at entry-2
@@ -29,8 +29,8 @@
     And the job "b" is "completed" within 30 s
     And no task ran twice at a time or after its end
 
-  Scenario: A job is handed in while the store is down
-    # Guards against a job accepted that cannot be kept, or refused and run.
+  Scenario: A job is submitted while the store is down
+    # Guards against accepting a job that cannot be stored, or running a refused one.
     Given two entries and 2 workers for jobs
     And 1 s pass
     And the store is down from now on
@@ -39,8 +39,8 @@
     And the state of the job "a" at entry-2 is "410"
     And 0 tasks were started, each once
 
-  Scenario: A job is handed in while the store has been down for a while
-    # Guards against a caller held by an attempt that the entry knows to be in vain.
+  Scenario: A job is submitted after the store has been down for a while
+    # Guards against a caller that waits for an attempt known to be futile.
     Given two entries and 2 workers for jobs
     And 1 s pass
     And the store is down from now on
@@ -48,8 +48,8 @@
     Then the job "a" of 1 steps with 1 tasks of 1 s is refused at entry-1
     And the refusal took less than 50 ms
 
-  Scenario: A job whose acceptance is open is handed in again
-    # Guards against a refusal of a job whose first attempt was stored unanswered.
+  Scenario: A job whose acceptance is uncertain is submitted again
+    # Guards against refusing a job whose first attempt was stored but not answered.
     Given two entries and 2 workers for jobs
     And 1 s pass
     And the answers to the next 1 writes of the store are lost
@@ -69,8 +69,8 @@
     Then the job "a" is "completed" within 20 s
     And 2 tasks were started, each once
 
-  Scenario: The store forgets its history
-    # Guards against jobs missed where changes can no longer be told.
+  Scenario: The store drops its history
+    # Guards against missing jobs when changes can no longer be listed.
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 2 tasks of 1 s is handed in at entry-1
     And the store's history is dropped
@@ -79,7 +79,7 @@
     And the job "b" is "completed" within 20 s
 
   Scenario: The scheduler is cut off from the store
-    # Guards against a scheduler that cannot write and keeps its place.
+    # Guards against a scheduler that cannot write but is not replaced.
     Given two entries and 2 workers for jobs
     And 1 s pass
     And the scheduler is cut off from the store
@@ -87,8 +87,8 @@
     Then the job "a" is "completed" within 20 s at the other entry
     And no task ran twice at a time or after its end
 
-  Scenario: The store turns one entry away
-    # Guards against jobs refused by an entry that could ask by way of another.
+  Scenario: The store refuses one entry
+    # Guards against jobs refused by an entry that could use another entry as relay.
     Given two entries and 2 workers for jobs
     And 12 s pass
     And the scheduler is cut off from the store
@@ -96,31 +96,31 @@
     And the job "a" of 1 steps with 2 tasks of 1 s is handed in at that entry
     Then the job "a" is "completed" within 5 s at the other entry
 
-  Scenario: Entries follow no more of a large job than of a small one
-    # Guards against entries on slow links that follow each task, and fall behind.
+  Scenario: Entries receive no more data of a large job than of a small one
+    # Guards against entries on slow links that receive every task change and fall behind.
     Given two entries and 3 workers for jobs
     When the job "a" of 3 steps with 8 tasks of 1 s is handed in at entry-1
     Then the job "a" is "completed" within 20 s
-    And what entries follow of the job "a" was written at most 2 times, 100 bytes at most
+    And the summary of the job "a" was written at most 2 times, 100 bytes at most
 
-  Scenario: A scheduler that is busy keeps its place
-    # Guards against a busy scheduler taken for one that is cut off.
+  Scenario: A busy scheduler is not replaced
+    # Guards against mistaking a busy scheduler for one that is cut off.
     Given two entries and 2 workers for jobs
     When 60 jobs of 1 task are handed in over 12 s
     Then the scheduler has not changed
 
-  Scenario: The store fails just as a new scheduler asks who is there
+  Scenario: The store fails just as a new scheduler reads the members
     # Guards against attendants that find a new scheduler only with their next report.
     Given two entries and 1 workers for jobs
     When the scheduler freezes
-    And the next 2 readings of the members fail
+    And the next 2 reads of the members fail
     And another entry has taken over
     And the job "a" of 1 steps with 1 tasks of 60 s is handed in at the new scheduler
     And 400 ms pass
     Then 1 tasks run
 
-  Scenario: A config comes while an entry follows the store by way of another
-    # Guards against a question that waits with an entry that has been cut off in turn.
+  Scenario: A config changes while an entry reads the store through another entry
+    # Guards against a call that waits for an entry that has since been cut off itself.
     Given two entries and 1 workers for jobs
     And 9 s pass
     And the scheduler is cut off from the store
--- a/tests/steps/job_fault_steps.py
+++ b/tests/steps/job_fault_steps.py
@@ -1,4 +1,4 @@
-"""Steps that make daemons, workers and the store of a world of jobs fail."""
+"""Steps that inject faults into the daemons, workers and store of a job world."""
 
 from __future__ import annotations
 
@@ -56,14 +56,14 @@
 def lose_power(context, milliseconds, name):
     world = context.world
     lose_all_power(world)
-    # What is sent to a VM without power is answered by nobody.
-    dark = {frozenset((name, entry)) for entry in world.cell.entry_by_name}
-    world.fabric.cut |= dark
-    bring_worker_back(world, name)
+    # A VM without power does not answer.
+    cut_links = {frozenset((name, entry)) for entry in world.cell.entry_by_name}
+    world.fabric.cut |= cut_links
+    restart_worker(world, name)
     for entry in world.cell.entry_by_name:
         world.restart_daemon(entry)
     world.advance(milliseconds / 1000)
-    world.fabric.cut -= dark
+    world.fabric.cut -= cut_links
 
 
 @when(
@@ -74,7 +74,7 @@
     world = context.world
     before = world.cell.rows.value_of("state", "scheduler", "lease")
     lose_all_power(world)
-    bring_worker_back(world, name)
+    restart_worker(world, name)
     for entry in world.cell.entry_by_name:
         world.restart_daemon(entry)
     world.wait_until(
@@ -83,7 +83,7 @@
     world.advance(milliseconds / 1000)
     for each in world.cell.worker_by_name:
         if each != name:
-            bring_worker_back(world, each)
+            restart_worker(world, each)
 
 
 def lose_all_power(world):
@@ -94,7 +94,7 @@
     world.advance(1)
 
 
-def bring_worker_back(world, name):
+def restart_worker(world, name):
     world.restart_daemon(name)
     world.run(world.cell.worker_by_name[name].report)
 
@@ -106,18 +106,18 @@
     context.world.restart_daemon(name)
 
 
-@when("what runs on {name} ends right after its new attendant's first look")
-def end_after_look(context, name):
+@when("what runs on {name} ends right after its new attendant's first poll")
+def end_after_poll(context, name):
     world = context.world
     worker = world.cell.worker_by_name[name]
     before = worker.looks
-    # The first look is answered at once, the second waits for an end.
+    # The first poll is answered at once, the second blocks until a run ends.
     world.wait_until(lambda: worker.looks == before + 2, step_s=0.001)
     worker.finish_all()
 
 
-@when("the store is down from {name}'s next look on")
-def lose_store_at_look(context, name):
+@when("the store is down from {name}'s next poll on")
+def lose_store_at_poll(context, name):
     world = context.world
     worker = world.cell.worker_by_name[name]
     before = worker.looks
@@ -131,15 +131,15 @@
 
 
 @when("{name}'s machine is unhealthy for {milliseconds:d} ms")
-def be_unhealthy(context, name, milliseconds):
+def make_unhealthy(context, name, milliseconds):
     worker = context.world.cell.worker_by_name[name]
     worker.is_unhealthy = True
     context.world.advance(milliseconds / 1000)
     worker.is_unhealthy = False
 
 
-@when("the scheduler hands over, and {name} is in a session of the next one")
-def hand_over(context, name):
+@when("the scheduler resigns, and {name} has a session with the next one")
+def resign_scheduler(context, name):
     world = context.world
     attendant = world.cell.attendant_by_name[name].attendant
     before = attendant.session
@@ -149,8 +149,8 @@
     world.wait_until(lambda: attendant.session > before, step_s=0.001)
 
 
-@when("the answer to {name}'s next look is lost")
-def lose_look(context, name):
+@when("the answer to {name}'s next poll is lost")
+def lose_poll_reply(context, name):
     context.world.fabric.faults(f"{name}/vm").lost_replies = 1
 
 
@@ -160,14 +160,14 @@
 
 
 @when("{name}'s machine crashes and sends no heartbeats")
-def crash_unheard(context, name):
+def crash_without_heartbeats(context, name):
     worker = context.world.cell.worker_by_name[name]
     worker.sends_heartbeats = False
     worker.crash()
 
 
 @when("{name}'s machine sends heartbeats again")
-def be_heard(context, name):
+def resume_heartbeats(context, name):
     worker = context.world.cell.worker_by_name[name]
     worker.sends_heartbeats = True
     context.world.run(worker.report)
@@ -187,13 +187,13 @@
     context.world.run(worker.report)
 
 
-@when("{name}'s machine is gone for good")
+@when("{name}'s machine is lost permanently")
 def vanish(context, name):
     context.world.cell.worker_by_name[name].vanish()
 
 
-@when("{name}'s machine falls silent")
-def silence(context, name):
+@when("{name}'s machine stops answering")
+def stop_answering(context, name):
     context.world.cell.worker_by_name[name].is_dark = True
 
 
@@ -202,7 +202,7 @@
     context.world.cell.worker_by_name[name].is_dark = False
 
 
-@when("what is sent to the scheduler for {seconds:d} s arrives late")
+@when("messages sent to the scheduler for {seconds:d} s arrive late")
 def delay_requests(context, seconds):
     faults = context.world.fabric.faults(context.world.cell.scheduler())
     faults.late_requests = sys.maxsize
@@ -224,7 +224,7 @@
 def leave(context, name):
     worker = context.world.cell.worker_by_name[name]
     context.world.run(worker.leave)
-    # Its process has ended: the VM refuses connections to it.
+    # The worker's process has ended, so the VM refuses connections to it.
     del context.world.fabric.listener_by_address[worker.address]
 
 
@@ -279,7 +279,7 @@
     context.world.cell.worker_by_name[name].late_starts = count
 
 
-@step("the next {count:d} starts at {name} are slow on their way")
+@step("the next {count:d} starts at {name} are delayed in transit")
 def make_slow(context, count, name):
     context.world.cell.worker_by_name[name].slow_starts = count
 
@@ -311,7 +311,7 @@
     context.world.cell.rows.faults.is_down = True
 
 
-@when("the next {count:d} readings of the members fail")
+@when("the next {count:d} reads of the members fail")
 def fail_member_reads(context, count):
     context.world.cell.rows.failed_reads_by_table["members"] = count
 
--- a/tests/steps/job_steps.py
+++ b/tests/steps/job_steps.py
@@ -1,4 +1,4 @@
-"""Steps on jobs, in a world in memory."""
+"""Steps about jobs in an in-memory world."""
 
 from __future__ import annotations
 
@@ -58,10 +58,10 @@
 
 
 @when(
-    'the saving job "{label}" of {steps:d} steps with {tasks:d} tasks of '
+    'the checkpointing job "{label}" of {steps:d} steps with {tasks:d} tasks of '
     "{seconds:d} s is handed in at {entry}"
 )
-def submit_saving(context, label, steps, tasks, seconds, entry):
+def submit_checkpointing(context, label, steps, tasks, seconds, entry):
     shape = make_steps(steps, tasks, seconds, checkpointing=True)
     status = context.world.submit_job(entry, label, shape, work_s=seconds, saves=True)
     assert status == 200, status
@@ -106,21 +106,21 @@
         "intervalMs": seconds * 1000,
     }
     assert world.call("POST", entry, job_id(label), body).status == 200
-    context.begun_by_occurrence = {}
+    context.start_by_occurrence = {}
     observer = world.cell.observer
     begin = observer.begin
 
-    def note(task, run, worker):
-        context.begun_by_occurrence[int(task.split(".")[1])] = world.now()
+    def record_start(task, run, worker):
+        context.start_by_occurrence[int(task.split(".")[1])] = world.now()
         begin(task, run, worker)
 
-    observer.begin = note
+    observer.begin = record_start
 
 
 @then('each occurrence of "{label}" began at its time')
 def check_times(context, label):
-    assert len(context.begun_by_occurrence) == 3, context.begun_by_occurrence
-    for number, begun in context.begun_by_occurrence.items():
+    assert len(context.start_by_occurrence) == 3, context.start_by_occurrence
+    for number, begun in context.start_by_occurrence.items():
         due = context.started_at + number * context.interval_s
         assert begun >= due, f"occurrence {number} began {due - begun} s early"
         assert begun < due + 0.2, f"occurrence {number} began {begun - due} s late"
@@ -152,10 +152,10 @@
 
 
 @then(
-    'what entries follow of the job "{label}" was written at most {count:d} times, '
+    'the summary of the job "{label}" was written at most {count:d} times, '
     "{size:d} bytes at most"
 )
-def check_followed(context, label, count, size):
+def check_summary_writes(context, label, count, size):
     rows = context.world.cell.rows
     written = [
         change
@@ -213,10 +213,10 @@
 
 
 def _wait_for_state(context, entry, label, state, seconds):
-    give_up = context.world.now() + seconds
+    deadline = context.world.now() + seconds
     seen = ""
     while seen != state:
-        assert context.world.now() < give_up, f"{label} is {seen}, not {state}"
+        assert context.world.now() < deadline, f"{label} is {seen}, not {state}"
         context.world.advance(0.25)
         seen = context.world.state_of(entry, label)
 
--- a/tests/steps/lost_steps.py
+++ b/tests/steps/lost_steps.py
@@ -1,4 +1,4 @@
-"""Steps that lose workers, or what is sent to and by them."""
+"""Steps that inject faults into workers and the messages to and from them."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     rows = world.cell.table.row_by_key
     before = rows[worker_key(worker)].version
     world.wait_until(lambda: rows[worker_key(worker)].version != before)
-    # The interval of renewals is 1 s.
+    # The renewal interval is 1 s.
     world.advance(0.95)
     world.fabric.faults(f"{worker}/vm").pause()
     world.advance(ms / 1000)
@@ -39,7 +39,7 @@
     running = world.cell.observer.running_by_task
     name = world.rows()[task].spec.task
     for _ in range(ms // 10):
-        assert running[name] == 1, f"{task} stands still at {world.now()} s"
+        assert running[name] == 1, f"{task} does not run at {world.now()} s"
         world.advance(0.01)
 
 
@@ -85,8 +85,8 @@
 
 
 @when("another scheduler has taken over, and cannot read the store for {ms:d} ms")
-def take_over_blind(context, ms):
-    """Cut the new scheduler off from the store as soon as its row stands."""
+def take_over_without_store(context, ms):
+    """Cut the new scheduler off from the store right after its takeover."""
     world = context.world
     before = world.cell.scheduler()
     world.wait_until(lambda: world.cell.scheduler() != before, step_s=0.0002)
@@ -96,8 +96,8 @@
     world.fabric.cut.discard(link)
 
 
-@when("the scheduler loses the store for good")
-def lose_store(context):
+@when("the scheduler is cut off permanently from the store and the other entries")
+def cut_off_scheduler(context):
     cell = context.world.cell
     name = cell.scheduler()
     for other in [*cell.entry_by_name, "store"]:
@@ -105,9 +105,9 @@
             context.world.fabric.cut.add(frozenset((name, other)))
 
 
-@when("{name} starts anew just before its task ends, and one look goes unanswered")
-def end_beside_start(context, name):
-    """Let a start be refused for a run whose end no look has shown yet."""
+@when("{name} restarts just before its task ends, and one poll goes unanswered")
+def refuse_start_at_end(context, name):
+    """Cause a start to be refused for a run whose end no poll has shown yet."""
     world = context.world
     worker = world.cell.worker_by_name[name]
     worker.sends_heartbeats = False
@@ -117,11 +117,11 @@
     (run,) = worker.run_by_task.values()
     world.wait_until(lambda: run.done_s > run.work_s - 0.06, step_s=0.005)
     hold = worker._hold
-    looks = []
+    polls = []
 
     async def answer(body):
-        looks.append(body)
-        if len(looks) == 2:
+        polls.append(body)
+        if len(polls) == 2:
             await trio.sleep_forever()
         return await hold(body)
 
@@ -130,22 +130,22 @@
     worker.sends_heartbeats = True
 
 
-@when("a late word that {name}'s machine leaves arrives")
-def leave_falsely(context, name):
-    """Deliver what an earlier life under the same id said before it ended."""
+@when("a late notice that {name}'s machine leaves arrives")
+def deregister_late(context, name):
+    """Deliver a deregistration that an earlier life under the same id has sent."""
     world = context.world
     worker = world.cell.worker_by_name[name]
     request = HttpRequest(method="POST", target=f"/v1/instances/i-{name}/deregister")
 
-    async def say():
+    async def deregister():
         await worker._transport.send(
             worker._attendant, request, timeout=timedelta(seconds=1)
         )
 
-    world.run(say)
+    world.run(deregister)
 
 
-@given("{name}'s machine answers looks and never takes a start")
+@given("{name}'s machine answers polls but never accepts a start")
 def lose_starts(context, name):
     async def never(body):
         await trio.sleep_forever()
@@ -271,7 +271,7 @@
 
 
 def _restart_vm(worker):
-    """Empty it, but for the lease: renewed again before its next life was seen."""
+    """Clear the VM but not its lease, renewed before its new life is noticed."""
     for attempt in worker._attempts():
         worker._suspend(attempt)
         worker._lose_result(attempt)
--- a/tests/support/job_world.py
+++ b/tests/support/job_world.py
@@ -1,4 +1,4 @@
-"""Entries, attendants and workers for jobs, in memory on a virtual clock."""
+"""In-memory entries, attendants and workers for jobs, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 def job_id(label: str) -> str:
-    """Return the id of the job that a scenario calls `label`."""
+    """Return the id of the job that a scenario names `label`."""
     return label.encode().hex().ljust(16, "0")[:16]
 
 
 def make_steps(
     steps: int, tasks: int, seconds: float, **extra: Any
 ) -> list[dict[str, Any]]:
-    """Return steps as a caller describes them, each after the one before."""
+    """Return the request form of a chain of steps, each depending on the previous."""
     return [
         {
             "count": tasks,
@@ -40,12 +40,12 @@
 
 
 class JobWorld(World):
-    """A world whose cell takes jobs."""
+    """A world whose cell accepts jobs."""
 
     cell: JobCell  # type: ignore[assignment]
 
     def submit_job(self, entry: str, label: str, steps: list[Any], **spec: Any) -> int:
-        """Hand a job in; return the status, 0 where no answer came."""
+        """Submit a job; return the status, 0 if no answer came."""
         body = {"spec": msgspec.json.encode(spec).decode(), "steps": steps}
         return self.call("POST", entry, job_id(label), body).status
 
@@ -54,7 +54,7 @@
         return self.call("DELETE", entry, job_id(label)).status
 
     def state_of(self, entry: str, label: str) -> str:
-        """Return a job's state as an entry tells it, or the status."""
+        """Return a job's state according to an entry, or else the status."""
         answer = self.call("GET", entry, job_id(label))
         if answer.status != 200:
             return str(answer.status)
@@ -69,7 +69,7 @@
         *,
         deadline_ms: int = 3000,
     ) -> HttpResponse:
-        """Send a caller's request."""
+        """Send a request as a caller; return the answer, status 0 if none came."""
         request = HttpRequest(
             method=method,
             target=f"{PREFIX}{name}",
@@ -99,7 +99,7 @@
         self.run(kill)
 
     def restart_daemon(self, name: str) -> None:
-        """Start a killed daemon anew."""
+        """Restart a killed daemon."""
 
         async def start() -> None:
             await self.cell.start_daemon(name)
