--- a/coltsfoottray/scheduler/active.py
+++ b/coltsfoottray/scheduler/active.py
@@ -40,7 +40,8 @@
 
 __all__ = ["ActiveScheduler"]
 
-# What arrives within it is decided together and stored in one transaction.
+# Everything that arrives within this interval is decided together and stored in one
+# transaction.
 _MIN_ROUND_INTERVAL = timedelta(milliseconds=15)
 # After a takeover, no tasks are placed for this long while workers that held runs have
 # yet to report them. After a power loss workers report within a tenth of a second of
--- a/coltsfoottray/scheduler/grants.py
+++ b/coltsfoottray/scheduler/grants.py
@@ -15,8 +15,8 @@
 __all__ = ["Grants", "is_out_of_order"]
 
 # Longest lease granted in reply to one report. The runs of a lost worker are given up
-# once it has expired, and an attendant that restarts must return within it, or its
-# worker stops all its tasks. An ordinary outage of a VM lasts 3.5 s.
+# once the lease has expired. An attendant that restarts must return before then, or its
+# worker stops all tasks; an ordinary outage of a VM lasts 3.5 s.
 _MAX_LEASE = timedelta(seconds=7)
 
 # A worker is listed as silent if no report has shown it alive for this long: two and
@@ -69,7 +69,7 @@
 
         An attendant can outlive its worker. If its reports alone renewed the lease, the
         lease of a lost worker would never expire and its runs would never be started
-        elsewhere. Nor is a lease granted that no worker would be told of.
+        elsewhere. A lease that no worker is told of extends nothing, so none is granted.
 
         Parameters
         ----------
--- a/coltsfoottray/scheduler/service.py
+++ b/coltsfoottray/scheduler/service.py
@@ -53,7 +53,8 @@
 # Random delay that keeps two entries that find the row free at once from both writing.
 _MAX_STAGGER_S = 0.05
 _CALL_TIMEOUT = timedelta(milliseconds=400)
-# After a power loss, daemons restart within a second of each other.
+# After a power loss, daemons restart within a second of each other. Hellos are repeated
+# for at least that long.
 _MAX_HELLOS = 10
 _HELLO_TIMEOUT = timedelta(milliseconds=200)
 _HELLO_INTERVAL = timedelta(milliseconds=100)
--- a/tests/steps/job_steps.py
+++ b/tests/steps/job_steps.py
@@ -120,10 +120,14 @@
 @then('each occurrence of "{label}" began at its time')
 def check_times(context, label):
     assert len(context.start_by_occurrence) == 3, context.start_by_occurrence
-    for number, begun in context.start_by_occurrence.items():
+    for number, started_at in context.start_by_occurrence.items():
         due = context.started_at + number * context.interval_s
-        assert begun >= due, f"occurrence {number} began {due - begun} s early"
-        assert begun < due + 0.2, f"occurrence {number} began {begun - due} s late"
+        assert started_at >= due, (
+            f"occurrence {number} began {due - started_at} s early"
+        )
+        assert started_at < due + 0.2, (
+            f"occurrence {number} began {started_at - due} s late"
+        )
 
 
 @step("{seconds:d} s pass")
@@ -232,7 +236,7 @@
     "is refused at {entry}"
 )
 def check_refused(context, label, steps, tasks, seconds, entry):
-    begun = context.world.now()
+    started_at = context.world.now()
     answer = context.world.call(
         "POST",
         entry,
@@ -241,7 +245,7 @@
     )
     assert answer.status == 503, answer.status
     assert int(answer.header_by_name["retry-after"]) >= 1
-    context.refused_after_s = context.world.now() - begun
+    context.refused_after_s = context.world.now() - started_at
     assert context.refused_after_s < 0.5, f"after {context.refused_after_s} s"
 
 
