--- a/properties/configs.py
+++ b/properties/configs.py
@@ -99,12 +99,12 @@
     @rule(is_down=st.booleans())
     def store(self, is_down: bool) -> None:
         """The store goes down or comes back."""
-        self.world.cell.rows.faults.is_down = is_down
+        self.world.cell.metadata_table.faults.is_down = is_down
 
     @rule()
     def drop_history(self) -> None:
         """The store forgets what changed."""
-        self.world.cell.rows.drop_history()
+        self.world.cell.metadata_table.drop_history()
 
     @rule(ms=st.sampled_from([100, 700, 2500]))
     def advance(self, ms: int) -> None:
@@ -147,11 +147,11 @@
         return self.world.cell.entry_by_name[entry].holder.current.version
 
     def _newest(self) -> int:
-        config = self.world.cell.rows.value_of("op", "", "config")
+        config = self.world.cell.metadata_table.value_of("op", "", "config")
         assert isinstance(config, dict)
         return int(config["version"])
 
     def _size(self) -> int:
         """Return how many bytes the newest config takes on a link."""
-        rows = self.world.cell.rows.current_by_ref.items()
+        rows = self.world.cell.metadata_table.current_by_ref.items()
         return sum(len(row.value) for ref, row in rows if ref.table == "op")
--- a/properties/jobs.py
+++ b/properties/jobs.py
@@ -194,22 +194,22 @@
     @rule(is_down=st.booleans())
     def store(self, is_down: bool) -> None:
         """The store goes down or comes back."""
-        self.world.cell.rows.faults.is_down = is_down
+        self.world.cell.metadata_table.faults.is_down = is_down
 
     @rule(count=st.sampled_from([1, 2, 8]))
     def lose_write_answers(self, count: int) -> None:
         """Writes take effect, and their answers are lost."""
-        self.world.cell.rows.faults.lost_answers = count
+        self.world.cell.metadata_table.faults.lost_answers = count
 
     @rule()
     def delay_write(self) -> None:
         """A write is carried out seconds later, if its conditions still hold."""
-        self.world.cell.rows.late_writes = 1
+        self.world.cell.metadata_table.late_writes = 1
 
     @rule()
     def drop_history(self) -> None:
         """The store forgets what changed."""
-        self.world.cell.rows.drop_history()
+        self.world.cell.metadata_table.drop_history()
 
     @rule(
         worker=WORKERS,
@@ -263,7 +263,7 @@
     def _note_completed(self) -> None:
         """Note what the store says of jobs, long before it is forgotten there."""
         for label in self._accepted - self._completed:
-            row = self.world.cell.rows.value_of(
+            row = self.world.cell.metadata_table.value_of(
                 "state", "scheduler", f"job.{job_id(label)}"
             )
             if isinstance(row, dict) and row.get("state") == "completed":
--- a/properties/losses.py
+++ b/properties/losses.py
@@ -95,7 +95,7 @@
         """Heal everything that is not lost for good."""
         cell = self._world.cell
         self.mend(set(self._world.fabric.cut))
-        cell.rows.faults.is_down = False
+        cell.metadata_table.faults.is_down = False
         for process in list(self._world.fabric.faults_by_process):
             if not self.is_ended(process):
                 self._world.resume(process)
--- a/standins/job_cell.py
+++ b/standins/job_cell.py
@@ -18,8 +18,8 @@
 from coltsfoottray.types import Address
 from standins.advice import AdviceStandIn
 from standins.fabric import MemoryFabric
-from standins.instance import InstanceStandIn, RunObserver
-from standins.rows import RowsStandIn
+from standins.job_worker import JobWorkerStandIn, RunObserver
+from standins.metadata_table import MetadataTableStandIn
 
 __all__ = ["HOST", "PREFIX", "JobCell"]
 
@@ -36,12 +36,12 @@
     entries: int
     workers: int
     processors: int = 8
-    rows: RowsStandIn = field(default_factory=RowsStandIn)
+    metadata_table: MetadataTableStandIn = field(default_factory=MetadataTableStandIn)
     advice: AdviceStandIn = field(default_factory=AdviceStandIn)
     observer: RunObserver = field(default_factory=RunObserver)
     entry_by_name: dict[str, JobEntryDaemon] = field(default_factory=dict)
     attendant_by_name: dict[str, JobAttendantDaemon] = field(default_factory=dict)
-    worker_by_name: dict[str, InstanceStandIn] = field(default_factory=dict)
+    worker_by_name: dict[str, JobWorkerStandIn] = field(default_factory=dict)
     scope_by_name: dict[str, trio.CancelScope] = field(default_factory=dict)
     dead: set[str] = field(default_factory=set)
 
@@ -54,7 +54,7 @@
 
     async def start(self) -> None:
         """Start everything."""
-        await self._serve("store", self._table, self.rows.handle)
+        await self._serve("store", self._table, self.metadata_table.handle)
         await self._serve("adviser", self._advice_address, self.advice.handle)
         self.write_config()
         for number in range(1, self.entries + 1):
@@ -98,7 +98,7 @@
         ]
         routes = [route, *unused]
         config = {"version": next(self._versions), "routes": routes, "services": []}
-        self.rows.put("op", "", "config", config)
+        self.metadata_table.put("op", "", "config", config)
 
     def callers(self, entry: str) -> Address:
         """Return where an entry takes jobs."""
@@ -110,7 +110,7 @@
 
     def scheduler(self) -> str:
         """Return the name of the entry that holds the lease row, empty for none."""
-        row = self.rows.value_of("state", "scheduler", "lease")
+        row = self.metadata_table.value_of("state", "scheduler", "lease")
         return str(row["holder"]) if isinstance(row, dict) else ""
 
     def kill(self, name: str) -> None:
@@ -150,7 +150,7 @@
     async def _start_worker(self, name: str) -> None:
         address = self.fabric.free_address()
         heartbeats = self.fabric.free_address()
-        worker = InstanceStandIn(
+        worker = JobWorkerStandIn(
             name=name,
             address=address,
             attendant=heartbeats,
--- a/standins/instance.py
+++ b/standins/job_worker.py
@@ -16,7 +16,7 @@
 from coltsfoottray.types import Address
 from standins.advice import AdviceStandIn
 
-__all__ = ["InstanceStandIn", "RunObserver"]
+__all__ = ["JobWorkerStandIn", "RunObserver"]
 
 _STEP_S = 0.02
 LATE_ORDER_S = 4.0
@@ -84,7 +84,7 @@
         return self.latency_ms or _USED_MILLI * self.percent / 100
 
 
-class InstanceStandIn:
+class JobWorkerStandIn:
     """Runs tasks while its lease lasts, at the platform's interface.
 
     A task's payload is JSON: `work_s`, and `fails`, `saves` or `lasts` where true.
--- a/standins/rows.py
+++ b/standins/metadata_table.py
@@ -12,7 +12,7 @@
 from coltsfoottray.http import HttpRequest, HttpResponse
 from standins.faults import Faults
 
-__all__ = ["RowsStandIn"]
+__all__ = ["MetadataTableStandIn"]
 
 LATE_WRITE_S = 3.0
 
@@ -53,7 +53,7 @@
 
 
 @dataclass(kw_only=True)
-class RowsStandIn:
+class MetadataTableStandIn:
     """Rows, one counter of versions, and the changes so far.
 
     Parameters
--- a/tests/steps/job_fault_steps.py
+++ b/tests/steps/job_fault_steps.py
@@ -10,7 +10,7 @@
 
 @step("{seconds:d} s pass with the store up again")
 def recover_store(context, seconds):
-    context.world.cell.rows.faults.is_down = False
+    context.world.cell.metadata_table.faults.is_down = False
     context.world.advance(seconds)
 
 
@@ -72,13 +72,15 @@
 )
 def lose_power_unevenly(context, milliseconds, name):
     world = context.world
-    before = world.cell.rows.value_of("state", "scheduler", "lease")
+    before = world.cell.metadata_table.value_of("state", "scheduler", "lease")
     lose_all_power(world)
     bring_worker_back(world, name)
     for entry in world.cell.entry_by_name:
         world.restart_daemon(entry)
     world.wait_until(
-        lambda: world.cell.rows.value_of("state", "scheduler", "lease") != before
+        lambda: (
+            world.cell.metadata_table.value_of("state", "scheduler", "lease") != before
+        )
     )
     world.advance(milliseconds / 1000)
     for each in world.cell.worker_by_name:
@@ -122,7 +124,7 @@
     worker = world.cell.worker_by_name[name]
     before = worker.looks
     world.wait_until(lambda: worker.looks > before, step_s=0.001)
-    world.cell.rows.faults.is_down = True
+    world.cell.metadata_table.faults.is_down = True
 
 
 @when("what runs on {name} ends")
@@ -291,49 +293,51 @@
 
 @given("the answers to the next {count:d} writes of the store are lost")
 def lose_write_answers(context, count):
-    context.world.cell.rows.faults.lost_answers = count
+    context.world.cell.metadata_table.faults.lost_answers = count
 
 
 @step("the next {count:d} writes of the store are carried out late")
 def make_writes_late(context, count):
-    context.world.cell.rows.late_writes = count
+    context.world.cell.metadata_table.late_writes = count
 
 
 @when("the store is down for {seconds:d} s")
 def take_store_down(context, seconds):
-    context.world.cell.rows.faults.is_down = True
+    context.world.cell.metadata_table.faults.is_down = True
     context.world.advance(seconds)
-    context.world.cell.rows.faults.is_down = False
+    context.world.cell.metadata_table.faults.is_down = False
 
 
 @step("the store is down from now on")
 def leave_store_down(context):
-    context.world.cell.rows.faults.is_down = True
+    context.world.cell.metadata_table.faults.is_down = True
 
 
 @when("the next {count:d} readings of the members fail")
 def fail_member_reads(context, count):
-    context.world.cell.rows.failed_reads_by_table["members"] = count
+    context.world.cell.metadata_table.failed_reads_by_table["members"] = count
 
 
 @when("another entry has taken over")
 def wait_for_takeover(context):
-    rows = context.world.cell.rows
-    before = rows.value_of("state", "scheduler", "lease")["epoch"]
+    metadata_table = context.world.cell.metadata_table
+    before = metadata_table.value_of("state", "scheduler", "lease")["epoch"]
     context.world.wait_until(
-        lambda: rows.value_of("state", "scheduler", "lease")["epoch"] != before
+        lambda: (
+            metadata_table.value_of("state", "scheduler", "lease")["epoch"] != before
+        )
     )
 
 
 @when("the store's history is dropped")
 def drop_history(context):
-    context.world.cell.rows.drop_history()
+    context.world.cell.metadata_table.drop_history()
 
 
 @given("the store goes down in {milliseconds:d} ms")
 def plan_outage(context, milliseconds):
     async def go_down():
         await trio.sleep(milliseconds / 1000)
-        context.world.cell.rows.faults.is_down = True
+        context.world.cell.metadata_table.faults.is_down = True
 
     context.world.spawn(go_down)
--- a/tests/steps/job_steps.py
+++ b/tests/steps/job_steps.py
@@ -156,10 +156,10 @@
     "{size:d} bytes at most"
 )
 def check_followed(context, label, count, size):
-    rows = context.world.cell.rows
+    metadata_table = context.world.cell.metadata_table
     written = [
         change
-        for change in rows.changes
+        for change in metadata_table.changes
         if change.ref.table == "state"
         and change.ref.part == "scheduler"
         and change.ref.key.endswith(job_id(label))
@@ -171,7 +171,7 @@
 
 @then("the scheduler has not changed")
 def check_scheduler(context):
-    row = context.world.cell.rows.value_of("state", "scheduler", "lease")
+    row = context.world.cell.metadata_table.value_of("state", "scheduler", "lease")
     assert row["epoch"] == 1, row
 
 
@@ -324,7 +324,7 @@
 
 @then('the store holds no row of "{label}"')
 def check_no_rows(context, label):
-    rows = context.world.cell.rows.current_by_ref
+    rows = context.world.cell.metadata_table.current_by_ref
     held = [ref for ref in rows if job_id(label) in ref.key]
     assert not held, held
 
--- a/tests/steps/slow_link_steps.py
+++ b/tests/steps/slow_link_steps.py
@@ -27,7 +27,7 @@
 @then("the config is in force at {name} within {seconds:d} s")
 def wait_for_config(context, name, seconds):
     cell = context.world.cell
-    version = cell.rows.value_of("op", "", "config")["version"]
+    version = cell.metadata_table.value_of("op", "", "config")["version"]
     deadline = context.world.now() + seconds
     while cell.entry_by_name[name].holder.current.version != version:
         assert context.world.now() < deadline, f"not within {seconds} s"
