--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -57,7 +57,9 @@
             placement=policies.placement,
         )
         await cell.start()
-        player = Player(cell=cell, name="policies", seed=1, say=lambda line: None)
+        player = Player(
+            cell=cell, name="policies", seed=1, report_progress=lambda line: None
+        )
         report = await player.play(events)
         nursery.cancel_scope.cancel()
     return report
--- a/benchmarks/pressures.py
+++ b/benchmarks/pressures.py
@@ -14,7 +14,7 @@
 
 from coltsfoottray.agent.learning import Observation, PressureLearner
 from coltsfoottray.agent.pressure import MAX_LIGHT_PRESSURE
-from standins.interference import LOOK_S, InterferedService
+from standins.interference import POLL_INTERVAL_S, InterferedService
 
 _SEEDS = 40
 _SETTLED_S = 10.0
@@ -50,15 +50,15 @@
         for _ in range(_TASKS)
     ]
     learner = PressureLearner()
-    for look in range(round(seconds / LOOK_S)):
-        now_s = look * LOOK_S
+    for look in range(round(seconds / POLL_INTERVAL_S)):
+        now_s = look * POLL_INTERVAL_S
         shares = share_by_image if now_s >= start_s else {}
         observations = [
             Observation(
                 service=str(number),
                 job="s",
                 image="svc",
-                latency_ms=service.look(now_s, shares),
+                latency_ms=service.sample_latency(now_s, shares),
                 target_ms=_TARGET_MS,
             )
             for number, service in enumerate(services)
--- a/properties/batch_tasks.py
+++ b/properties/batch_tasks.py
@@ -199,7 +199,7 @@
         return entry in self.world.cell.entry_by_name and faults.running.is_set()
 
     async def _start_vm_anew(self, worker: str) -> None:
-        self.world.cell.worker_stand_in_by_name[worker].start_anew()
+        self.world.cell.worker_stand_in_by_name[worker].restart()
 
     def _heal_all(self) -> None:
         """Heal all but what is gone for good; at least one worker stays sound."""
--- a/properties/configs.py
+++ b/properties/configs.py
@@ -49,7 +49,7 @@
         """The operator writes a config."""
 
         async def write() -> None:
-            self.world.cell.write_config(more_routes=routes)
+            self.world.cell.write_config(unused_routes=routes)
 
         self.world.run(write)
 
--- a/properties/jobs.py
+++ b/properties/jobs.py
@@ -175,11 +175,11 @@
         """A worker loses all that runs there and comes back empty."""
         self.world.cell.worker_by_name[worker].crash()
 
-    @rule(worker=WORKERS, is_dark=st.booleans())
-    def darken(self, worker: str, is_dark: bool) -> None:
+    @rule(worker=WORKERS, is_unreachable=st.booleans())
+    def darken(self, worker: str, is_unreachable: bool) -> None:
         """A worker runs on and answers nobody, or answers again."""
-        is_mute = is_dark or self.losses.is_mute(worker)
-        self.world.cell.worker_by_name[worker].is_dark = is_mute
+        is_mute = is_unreachable or self.losses.is_mute(worker)
+        self.world.cell.worker_by_name[worker].is_unreachable = is_mute
 
     @rule(worker=WORKERS, count=st.integers(min_value=1, max_value=3))
     def delay_starts(self, worker: str, count: int) -> None:
@@ -257,7 +257,7 @@
         cell = self.world.cell
         assert not cell.observer.violations, cell.observer.violations
         for worker in cell.worker_by_name.values():
-            assert worker.max_taken <= cell.processors, worker.name
+            assert worker.max_concurrent_runs <= cell.processors, worker.name
         self._note_completed()
 
     def _note_completed(self) -> None:
--- a/properties/losses.py
+++ b/properties/losses.py
@@ -67,9 +67,9 @@
         self._lost.add((worker, loss))
         machine = self._world.cell.worker_by_name[worker]
         if loss is Loss.GONE:
-            machine.vanish()
+            machine.destroy()
         elif loss is Loss.SILENT:
-            machine.is_dark = True
+            machine.is_unreachable = True
         else:
             machine.is_draining = True
 
@@ -100,7 +100,7 @@
             if not self.is_ended(process):
                 self._world.resume(process)
         for name, worker in cell.worker_by_name.items():
-            worker.is_dark = self.is_mute(name)
+            worker.is_unreachable = self.is_mute(name)
             worker.is_draining = self.is_leaving(name)
 
     def _has(self, name: str, loss: Loss) -> bool:
--- a/standins/advice.py
+++ b/standins/advice.py
@@ -29,10 +29,10 @@
         Ids of the jobs that it allows no worker to run.
     """
 
-    allowed: set[str] = field(default_factory=set)
-    hopeless: set[str] = field(default_factory=set)
+    allowed_workers: set[str] = field(default_factory=set)
+    denied_jobs: set[str] = field(default_factory=set)
     expiry_by_ticket: dict[str, float] = field(default_factory=dict)
-    questions: int = 0
+    request_count: int = 0
     is_busy: bool = False
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
@@ -46,14 +46,14 @@
             self.is_busy = False
 
     async def _answer(self, body: dict[str, Any]) -> HttpResponse:
-        self.questions += 1
+        self.request_count += 1
         job = body["step"].split(".")[0]
         await trio.sleep(_DECISION_S + _PER_WORKER_S * len(body["workers"]))
         rows = []
         for worker in body["workers"]:
-            if worker not in self.allowed or job in self.hopeless:
+            if worker not in self.allowed_workers or job in self.denied_jobs:
                 continue
-            ticket = f"{body['step']}@{worker}#{self.questions}"
+            ticket = f"{body['step']}@{worker}#{self.request_count}"
             self.expiry_by_ticket[ticket] = trio.current_time() + VALIDITY_S
             rows.append([worker, ticket])
         answer = {"allowed": rows, "validityMs": VALIDITY_S * 1000}
--- a/standins/cell.py
+++ b/standins/cell.py
@@ -33,13 +33,13 @@
 from standins.upstream import UpstreamStandIn
 from standins.worker import WorkerStandIn
 
-__all__ = ["Cell", "Running"]
+__all__ = ["Cell", "ProcessHandle"]
 
 _FREE_PORT = Address(host="127.0.0.1", port=0)
 
 
 @dataclass(kw_only=True)
-class Running:
+class ProcessHandle:
     """Something that runs in the cell and can be killed."""
 
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
@@ -60,12 +60,12 @@
         fabric: Fabric,
         routing: str = "two-choices",
         placement: str = "tightest-fit",
-        table_late_s: float = 0.0,
+        table_start_delay_s: float = 0.0,
     ) -> None:
         self.deployment = deployment
         self._routing = routing
         self._placement = placement
-        self._table_late_s = table_late_s
+        self._table_start_delay_s = table_start_delay_s
         self.fabric = fabric
         self.observer = Observer()
         self.table = TableStandIn()
@@ -73,7 +73,7 @@
         self.upstream_by_name: dict[str, UpstreamDaemon] = {}
         self.worker_by_name: dict[str, WorkerDaemon] = {}
         self.worker_stand_in_by_name: dict[str, WorkerStandIn] = {}
-        self.running_by_name: dict[str, Running] = {}
+        self.process_by_name: dict[str, ProcessHandle] = {}
         self._settings_by_name: dict[str, UpstreamSettings | WorkerSettings] = {}
         self._boots = itertools.count(1)
         self._nursery = nursery
@@ -83,7 +83,7 @@
         """Start everything, and return once all attendants are in place."""
         self._table_address = await self._serve(self.table.handle, "table")
         await self._write_lists(extra_customers)
-        if self._table_late_s:
+        if self._table_start_delay_s:
             self.table.faults.is_down = True
             self._nursery.start_soon(self._bring_table_up)
         for number in range(1, self.deployment.entries + 1):
@@ -95,7 +95,7 @@
         await self._wait_until_known()
 
     async def _bring_table_up(self) -> None:
-        await trio.sleep(self._table_late_s)
+        await trio.sleep(self._table_start_delay_s)
         self.table.faults.is_down = False
 
     def live_entries(self) -> list[EntryDaemon]:
@@ -104,7 +104,7 @@
 
     def kill(self, name: str) -> None:
         """Kill what runs as `name`."""
-        self.running_by_name[name].kill()
+        self.process_by_name[name].kill()
         self.entry_by_name.pop(name, None)
 
     def lose_worker(self, name: str) -> None:
@@ -206,7 +206,7 @@
             objects=self.table.object_by_name,
         )
         address = await self._serve(stand_in.handle, f"{name}/vm")
-        scope = self.running_by_name[f"{name}/vm"].scope
+        scope = self.process_by_name[f"{name}/vm"].scope
         self._nursery.start_soon(_run_in_scope, stand_in, scope)
         self.worker_stand_in_by_name[name] = stand_in
         return address
@@ -216,15 +216,15 @@
         return names[number % len(names)]
 
     async def _run_daemon(self, daemon: Daemon) -> None:
-        running = Running()
-        self.running_by_name[daemon.settings.name] = running
-        await self._nursery.start(_run_daemon, daemon, running.scope)
+        process = ProcessHandle()
+        self.process_by_name[daemon.settings.name] = process
+        await self._nursery.start(_run_daemon, daemon, process.scope)
 
     async def _serve(self, handler: Handler, name: str) -> Address:
         server = self.fabric.listeners(name).http(_FREE_PORT, handler)
-        running = Running()
-        self.running_by_name[name] = running
-        await self._nursery.start(_run_daemon, server, running.scope)
+        process = ProcessHandle()
+        self.process_by_name[name] = process
+        await self._nursery.start(_run_daemon, server, process.scope)
         return server.bound
 
     async def _write_lists(self, extra_customers: Iterable[str]) -> None:
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -32,7 +32,7 @@
 __all__ = ["Fabric", "LoopbackFabric", "MemoryFabric"]
 
 _LATENCY_S = 0.0005
-LATE_S = 3.0
+REQUEST_DELAY_S = 3.0
 _VIRTUAL_START = datetime(2026, 1, 1, tzinfo=UTC)
 
 
@@ -77,7 +77,7 @@
     lost_requests : int
         For so many exchanges: the request never arrives, and nobody is told.
     late_requests : int
-        For so many exchanges: the request arrives after `LATE_S`, when its
+        For so many exchanges: the request arrives after `REQUEST_DELAY_S`, when its
         sender has long given it up.
     link : AccessLink
         Carries what the process is answered.
@@ -298,7 +298,7 @@
             return
         if faults.late_requests > 0:
             faults.late_requests -= 1
-            await trio.sleep(LATE_S)
+            await trio.sleep(REQUEST_DELAY_S)
         await faults.running.wait()
         self._open.append(pending)
         try:
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -27,7 +27,7 @@
     delay_s: float = 0.0
     lost_answers: int = 0
 
-    async def before(self) -> bool:
+    async def before_call(self) -> bool:
         """Wait out the delay; return whether the call may go on."""
         if self.delay_s:
             await trio.sleep(self.delay_s)
--- a/standins/interference.py
+++ b/standins/interference.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from random import Random
 
-__all__ = ["LOOK_S", "InterferedService"]
+__all__ = ["POLL_INTERVAL_S", "InterferedService"]
 
-LOOK_S = 0.5
+POLL_INTERVAL_S = 0.5
 _KEPT = 0.35
 _UNLOADED_MS = 10.0
 _MEAN_LOAD = 0.42
@@ -47,7 +47,9 @@
         turn = math.sin(2 * math.pi * now_s / self.period_s + self.phase)
         return _MEAN_LOAD * (1 + _SWING * turn)
 
-    def look(self, now_s: float, share_by_image: Mapping[str, float]) -> float:
+    def sample_latency(
+        self, now_s: float, share_by_image: Mapping[str, float]
+    ) -> float:
         """Return its latency figure in whole ms, half a second after the last."""
         speed = 1.0 - self.load(now_s) - self.random.gauss(0, _OWN_LOAD)
         for image, share in share_by_image.items():
--- a/standins/job_cell.py
+++ b/standins/job_cell.py
@@ -21,10 +21,10 @@
 from standins.job_worker import JobWorkerStandIn, RunObserver
 from standins.metadata_table import MetadataTableStandIn
 
-__all__ = ["HOST", "PREFIX", "JobCell"]
+__all__ = ["HOST", "PATH_PREFIX", "JobCell"]
 
 HOST = "jobs.example"
-PREFIX = "/rebuild/"
+PATH_PREFIX = "/rebuild/"
 
 
 @dataclass(kw_only=True)
@@ -43,7 +43,7 @@
     attendant_by_name: dict[str, JobAttendantDaemon] = field(default_factory=dict)
     worker_by_name: dict[str, JobWorkerStandIn] = field(default_factory=dict)
     scope_by_name: dict[str, trio.CancelScope] = field(default_factory=dict)
-    dead: set[str] = field(default_factory=set)
+    killed: set[str] = field(default_factory=set)
 
     def __post_init__(self) -> None:
         self._table = self.fabric.free_address()
@@ -74,7 +74,7 @@
         for number in range(1, self.workers + 1):
             await self._start_worker(f"worker-{number}")
 
-    def write_config(self, more_routes: int = 0, **changes: object) -> None:
+    def write_config(self, unused_routes: int = 0, **changes: object) -> None:
         """Write a new version of the config, as the operator does.
 
         Parameters
@@ -85,7 +85,7 @@
         route = {
             "name": "r-rebuild",
             "host": HOST,
-            "pathPrefix": PREFIX,
+            "pathPrefix": PATH_PREFIX,
             "service": "svc",
             "priority": 1,
             "maxAttempts": 2,
@@ -94,7 +94,7 @@
         }
         unused = [
             {**route, "name": f"r-unused-{n}", "pathPrefix": f"/unused-{n}/"}
-            for n in range(more_routes)
+            for n in range(unused_routes)
         ]
         routes = [route, *unused]
         config = {"version": next(self._versions), "routes": routes, "services": []}
@@ -116,11 +116,11 @@
     def kill(self, name: str) -> None:
         """End a process at once, as a crash would."""
         self.scope_by_name[name].cancel()
-        self.dead.add(name)
+        self.killed.add(name)
 
     async def start_daemon(self, name: str) -> None:
         """Start a daemon, or start it anew."""
-        self.dead.discard(name)
+        self.killed.discard(name)
         settings = self._settings_by_name[name]
         daemon: JobDaemon
         if isinstance(settings, JobEntrySettings):
--- a/standins/job_worker.py
+++ b/standins/job_worker.py
@@ -19,9 +19,9 @@
 __all__ = ["JobWorkerStandIn", "RunObserver"]
 
 _STEP_S = 0.02
-LATE_ORDER_S = 4.0
+START_DELAY_S = 4.0
 # So long a start may be on its way and still be answered in time.
-_SLOW_ORDER_S = 0.65
+_SLOW_START_DELAY_S = 0.65
 _HEARTBEAT_S = 1.0
 _FAIL_AFTER_S = 0.1
 # What a task uses of its worker while it works.
@@ -107,16 +107,16 @@
         self.late_starts = 0
         self.slow_starts = 0
         self.is_unhealthy = False
-        self.is_dark = False
-        self.is_gone = False
+        self.is_unreachable = False
+        self.is_destroyed = False
         self.sends_heartbeats = True
         self.is_draining = False
         self.is_hung = False
-        self.looks = 0
+        self.poll_count = 0
         self.refused_tickets = 0
         self.fails_everything = False
         self.processors = processors
-        self.max_taken = 0.0
+        self.max_concurrent_runs = 0.0
         self._attendant = attendant
         self._advice = advice
         self._transport = transport
@@ -156,13 +156,13 @@
         self._forget_ends()
         self._begin_life()
 
-    def vanish(self) -> None:
+    def destroy(self) -> None:
         """Lose everything, never to come back; nobody is told."""
         self.crash()
-        self.is_dark = True
-        self.is_gone = True
+        self.is_unreachable = True
+        self.is_destroyed = True
 
-    async def leave(self) -> None:
+    async def deregister(self) -> None:
         """Say that it leaves and be gone."""
         request = HttpRequest(
             method="POST", target=f"/v1/instances/i-{self.name}/deregister"
@@ -170,7 +170,7 @@
         await self._transport.send(
             self._attendant, request, timeout=timedelta(seconds=1)
         )
-        self.is_dark = True
+        self.is_unreachable = True
         for run in list(self.run_by_task.values()):
             self._observer.end(run.task)
         self.run_by_task.clear()
@@ -188,10 +188,10 @@
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
         """Serve the worker's interface."""
-        if self.is_dark:
+        if self.is_unreachable:
             await trio.sleep_forever()
         response = await self._carry_out(request)
-        if self.is_gone:
+        if self.is_destroyed:
             # Nor does it answer what it was asked before.
             await trio.sleep_forever()
         return response
@@ -202,7 +202,7 @@
         body = msgspec.json.decode(request.body, type=dict[str, Any])
         if request.path == "/v1/run-start" and self.slow_starts > 0:
             self.slow_starts -= 1
-            await trio.sleep(_SLOW_ORDER_S)
+            await trio.sleep(_SLOW_START_DELAY_S)
         if body["fencingToken"] < self.fence:
             return self._answer({"reason": "fence"}, status=409)
         self.fence = body["fencingToken"]
@@ -222,8 +222,8 @@
     async def _take_start(self, body: dict[str, Any]) -> HttpResponse:
         if self.late_starts > 0:
             self.late_starts -= 1
-            await trio.sleep(LATE_ORDER_S)
-            if not self.is_gone:
+            await trio.sleep(START_DELAY_S)
+            if not self.is_destroyed:
                 self._start(body)
             await trio.sleep_forever()
         response = self._start(body)
@@ -262,7 +262,7 @@
             done_s=float(body.get("checkpoint") or 0),
         )
         self._observer.begin(task, number, self.name)
-        self.max_taken = max(self.max_taken, len(self.run_by_task))
+        self.max_concurrent_runs = max(self.max_concurrent_runs, len(self.run_by_task))
         return self._answer({})
 
     def _stop(self, body: dict[str, Any]) -> HttpResponse:
@@ -275,7 +275,7 @@
         return self._answer({})
 
     async def _hold(self, body: dict[str, Any]) -> HttpResponse:
-        self.looks += 1
+        self.poll_count += 1
         self._extend(body.get("untilMs", 0))
         seen = body["ackCursor"]
         self.ends = [end for end in self.ends if end[0] > seen]
@@ -348,7 +348,7 @@
 
     async def _report_for_ever(self) -> None:
         while True:
-            if self.sends_heartbeats and not self.is_dark:
+            if self.sends_heartbeats and not self.is_unreachable:
                 await self.report()
             await trio.sleep(_HEARTBEAT_S)
 
--- a/standins/metadata_table.py
+++ b/standins/metadata_table.py
@@ -14,7 +14,7 @@
 
 __all__ = ["MetadataTableStandIn"]
 
-LATE_WRITE_S = 3.0
+WRITE_DELAY_S = 3.0
 
 
 class _Ref(msgspec.Struct, frozen=True):
@@ -98,7 +98,7 @@
     async def handle(self, request: HttpRequest) -> HttpResponse:
         """Serve the store's interface."""
         self.calls += 1
-        if not await self.faults.before():
+        if not await self.faults.before_call():
             return HttpResponse(status=503)
         if request.path == "/v1/rows-tx":
             return await self._transact(msgspec.json.decode(request.body, type=_Tx))
@@ -118,7 +118,7 @@
             return HttpResponse(status=400)
         if self.late_writes > 0:
             self.late_writes -= 1
-            await trio.sleep(LATE_WRITE_S)
+            await trio.sleep(WRITE_DELAY_S)
             self._apply(tx)
             await trio.sleep_forever()
         response = self._apply(tx)
--- a/standins/observer.py
+++ b/standins/observer.py
@@ -17,7 +17,7 @@
     running_by_request: Counter[str] = field(default_factory=Counter)
     running_by_task: Counter[str] = field(default_factory=Counter)
     finishes_by_task: Counter[str] = field(default_factory=Counter)
-    vanished_by_task: Counter[str] = field(default_factory=Counter)
+    lost_results_by_task: Counter[str] = field(default_factory=Counter)
     starts_by_attempt: Counter[str] = field(default_factory=Counter)
     done_s_at_starts_by_task: dict[str, list[float]] = field(
         default_factory=lambda: defaultdict(list)
@@ -52,14 +52,14 @@
         """Note that a worker runs `task` no more."""
         self.running_by_task[task] -= 1
 
-    def note_start(self, task: str, done_s: float) -> None:
+    def record_start(self, task: str, done_s: float) -> None:
         """Note from how far on an attempt starts."""
         self.done_s_at_starts_by_task[task].append(done_s)
 
     def finish_task(self, task: str) -> None:
         """Note that `task` has come to its good end."""
         self.finishes_by_task[task] += 1
-        if self.finishes_by_task[task] - self.vanished_by_task[task] > 1:
+        if self.finishes_by_task[task] - self.lost_results_by_task[task] > 1:
             self.doubled.add(task)
 
     def lose_result(self, task: str) -> None:
@@ -67,8 +67,8 @@
 
         Such a task rightly runs again, so a second end is no double.
         """
-        self.vanished_by_task[task] += 1
+        self.lost_results_by_task[task] += 1
 
-    def note_commitment(self, *, is_over: bool) -> None:
+    def record_allocation(self, *, is_over: bool) -> None:
         """Note what a worker is committed to after a start."""
         self.overcommitted += is_over
--- a/standins/player.py
+++ b/standins/player.py
@@ -55,14 +55,14 @@
         cell: Cell,
         name: str,
         seed: int,
-        say: Callable[[str], None],
-        settle_s: float = 60.0,
+        report_progress: Callable[[str], None],
+        completion_timeout_s: float = 60.0,
     ) -> None:
         self._cell = cell
         self._name = name
         self._random = Random(seed)
-        self._say = say
-        self._settle_s = settle_s
+        self._report_progress = report_progress
+        self._completion_timeout_s = completion_timeout_s
         self._client = cell.fabric.transport("callers")
         self._turn = itertools.count(self._random.randrange(1000))
         self._status_by_request: dict[str, int] = {}
@@ -78,8 +78,8 @@
             for event in events:
                 await trio.sleep_until(began + event.at)
                 nursery.start_soon(self._play_event, event)
-        self._say("all events played; waiting for the tasks to end")
-        with trio.move_on_after(self._settle_s):
+        self._report_progress("all events played; waiting for the tasks to end")
+        with trio.move_on_after(self._completion_timeout_s):
             while self._open_tasks():
                 await trio.sleep(_PAUSE_S)
         return self._report()
@@ -115,7 +115,7 @@
                 self._entry(), request, timeout=_CALL_TIMEOUT
             )
         except CommunicationError as error:
-            self._say(f"request {event.id}: {error}")
+            self._report_progress(f"request {event.id}: {error}")
             self._status_by_request[event.id] = 504
             return
         self._status_by_request[event.id] = response.status
@@ -132,7 +132,7 @@
     ) -> None:
         expected = f"answer to {event.customer}/{key}: "
         if not response.body.startswith(expected.encode()):
-            self._say(f"request {event.id}: somebody else's answer")
+            self._report_progress(f"request {event.id}: somebody else's answer")
             self._cell.observer.doubled.add(event.id)
 
     async def _task(self, event: TaskEvent) -> None:
@@ -159,7 +159,7 @@
             self._accepted.add(event.id)
         else:
             status = None if response is None else response.body.decode()
-            self._say(f"task {event.id} not accepted: {status}")
+            self._report_progress(f"task {event.id} not accepted: {status}")
 
     async def _cancel(self, event: CancelEvent) -> None:
         customer = self._customer_by_task[event.id]
@@ -179,10 +179,12 @@
         body = msgspec.json.encode(edit)
         answer = await self._send_until_certain("POST", "/lists", "operator", body)
         status = None if answer is None else answer.status
-        self._say(f"edit of {event.list.value} {event.change}: status {status}")
+        self._report_progress(
+            f"edit of {event.list.value} {event.change}: status {status}"
+        )
 
     async def _fault(self, event: FaultEvent) -> None:
-        self._say(f"fault: {event.what.value} {event.target}")
+        self._report_progress(f"fault: {event.what.value} {event.target}")
         cell, faults = self._cell, self._cell.table.faults
         if event.what is FaultKind.STORE_DOWN:
             faults.is_down = True
@@ -216,7 +218,7 @@
             try:
                 response = await self._client.send(self._entry(), request)
             except CommunicationError as error:
-                self._say(f"{method} {target}: {error}")
+                self._report_progress(f"{method} {target}: {error}")
             else:
                 if response.status not in (503, 504):
                     return response
--- a/standins/session.py
+++ b/standins/session.py
@@ -27,10 +27,10 @@
 
 
 async def play_sessions(
-    sessions: Sequence[Session], seed: int, say: Callable[[str], None]
+    sessions: Sequence[Session], seed: int, report_progress: Callable[[str], None]
 ) -> list[Report]:
     """Play each session in a deployment of its own."""
-    return [await _play_session(session, seed, say) for session in sessions]
+    return [await _play_session(session, seed, report_progress) for session in sessions]
 
 
 def merge_reports(reports: Sequence[Report]) -> Report:
@@ -51,7 +51,7 @@
 
 
 async def _play_session(
-    session: Session, seed: int, say: Callable[[str], None]
+    session: Session, seed: int, report_progress: Callable[[str], None]
 ) -> Report:
     async with trio.open_nursery() as nursery:
         fabric = LoopbackFabric()
@@ -62,13 +62,19 @@
             if isinstance(event, RequestEvent | TaskEvent)
         }
         unlisted = customers - set(session.deployment.plans)
-        say(f"{session.name}: starting {session.deployment.entries} entries and more")
+        report_progress(
+            f"{session.name}: starting {session.deployment.entries} entries and more"
+        )
         if unlisted:
             plan = session.deployment.default_plan
-            say(f"not in the lists, given the plan {plan!r}: {sorted(unlisted)}")
+            report_progress(
+                f"not in the lists, given the plan {plan!r}: {sorted(unlisted)}"
+            )
         await cell.start(extra_customers=unlisted)
-        say(f"{session.name}: playing {len(session.events)} events")
-        player = Player(cell=cell, name=session.name, seed=seed, say=say)
+        report_progress(f"{session.name}: playing {len(session.events)} events")
+        player = Player(
+            cell=cell, name=session.name, seed=seed, report_progress=report_progress
+        )
         report = await player.play(session.events)
         nursery.cancel_scope.cancel()
     return report
--- a/standins/table.py
+++ b/standins/table.py
@@ -30,7 +30,7 @@
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
         """Serve the table's HTTP interface."""
-        if not await self.faults.before():
+        if not await self.faults.before_call():
             return HttpResponse(status=503)
         response = await self._serve(request)
         self.bytes_in += len(request.body) + len(request.target)
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -66,7 +66,7 @@
                 self._suspend(attempt)
                 self._lose_result(attempt)
 
-    def start_anew(self) -> None:
+    def restart(self) -> None:
         """Crash and be back at once, empty and with no lease."""
         for attempt in self._attempts():
             self._suspend(attempt)
@@ -119,11 +119,11 @@
             self._attempt_by_task[start.task] = _Attempt(
                 start=start, done_s=msgspec.json.decode(done, type=float)
             )
-            self._observer.note_start(
+            self._observer.record_start(
                 start.task, self._attempt_by_task[start.task].done_s
             )
             total = Resources.total([a.start.demand for a in self._unfinished()])
-            self._observer.note_commitment(is_over=not total.fits_in(self.capacity))
+            self._observer.record_allocation(is_over=not total.fits_in(self.capacity))
             self._advance(self._attempt_by_task[start.task], step_s=0.0)
         return HttpResponse.of_json(True)
 
--- a/tests/steps/job_fault_steps.py
+++ b/tests/steps/job_fault_steps.py
@@ -112,9 +112,9 @@
 def end_after_look(context, name):
     world = context.world
     worker = world.cell.worker_by_name[name]
-    before = worker.looks
+    before = worker.poll_count
     # The first look is answered at once, the second waits for an end.
-    world.wait_until(lambda: worker.looks == before + 2, step_s=0.001)
+    world.wait_until(lambda: worker.poll_count == before + 2, step_s=0.001)
     worker.finish_all()
 
 
@@ -122,8 +122,8 @@
 def lose_store_at_look(context, name):
     world = context.world
     worker = world.cell.worker_by_name[name]
-    before = worker.looks
-    world.wait_until(lambda: worker.looks > before, step_s=0.001)
+    before = worker.poll_count
+    world.wait_until(lambda: worker.poll_count > before, step_s=0.001)
     world.cell.metadata_table.faults.is_down = True
 
 
@@ -147,7 +147,7 @@
     before = attendant.session
     entry = world.cell.scheduler()
     world.spawn(world.cell.entry_by_name[entry].shut_down)
-    world.cell.dead.add(entry)
+    world.cell.killed.add(entry)
     world.wait_until(lambda: attendant.session > before, step_s=0.001)
 
 
@@ -190,18 +190,18 @@
 
 
 @when("{name}'s machine is gone for good")
-def vanish(context, name):
-    context.world.cell.worker_by_name[name].vanish()
+def destroy(context, name):
+    context.world.cell.worker_by_name[name].destroy()
 
 
 @when("{name}'s machine falls silent")
 def silence(context, name):
-    context.world.cell.worker_by_name[name].is_dark = True
+    context.world.cell.worker_by_name[name].is_unreachable = True
 
 
 @when("{name}'s machine answers again")
 def answer_again(context, name):
-    context.world.cell.worker_by_name[name].is_dark = False
+    context.world.cell.worker_by_name[name].is_unreachable = False
 
 
 @when("what is sent to the scheduler for {seconds:d} s arrives late")
@@ -223,16 +223,16 @@
 
 
 @when("{name}'s machine leaves without a notice")
-def leave(context, name):
+def deregister(context, name):
     worker = context.world.cell.worker_by_name[name]
-    context.world.run(worker.leave)
+    context.world.run(worker.deregister)
     # Its process has ended: the VM refuses connections to it.
     del context.world.fabric.listener_by_address[worker.address]
 
 
 @when("{name} and its machine are lost")
 def lose(context, name):
-    context.world.cell.worker_by_name[name].is_dark = True
+    context.world.cell.worker_by_name[name].is_unreachable = True
     context.world.kill_daemon(name)
 
 
--- a/tests/steps/job_placement_steps.py
+++ b/tests/steps/job_placement_steps.py
@@ -21,7 +21,7 @@
 @given("the queue's policy allows only {name}")
 @when("the policy changes to allow only {name}")
 def restrict_queue(context, name):
-    context.world.cell.advice.allowed = {f"i-{name}"}
+    context.world.cell.advice.allowed_workers = {f"i-{name}"}
     terms = {"decisionMs": 100, "periodMs": 20, "validityMs": 3000}
 
     async def write():
@@ -33,12 +33,12 @@
 
 @given('the policy allows the job "{label}" on no worker')
 def forbid_job(context, label):
-    context.world.cell.advice.hopeless.add(job_id(label))
+    context.world.cell.advice.denied_jobs.add(job_id(label))
 
 
 @when('the policy allows the job "{label}" like any other')
 def permit_job(context, label):
-    context.world.cell.advice.hopeless.discard(job_id(label))
+    context.world.cell.advice.denied_jobs.discard(job_id(label))
 
 
 @when(
@@ -166,4 +166,4 @@
 @then("no worker ever ran more than {count:d} tasks")
 def check_room(context, count):
     for worker in context.world.cell.worker_by_name.values():
-        assert worker.max_taken <= count, worker.max_taken
+        assert worker.max_concurrent_runs <= count, worker.max_concurrent_runs
--- a/tests/steps/job_steps.py
+++ b/tests/steps/job_steps.py
@@ -207,7 +207,7 @@
     running = [
         name
         for name in context.world.cell.entry_by_name
-        if name not in context.world.cell.dead
+        if name not in context.world.cell.killed
     ]
     _wait_for_state(context, running[0], label, state, seconds)
 
--- a/tests/steps/pressure_steps.py
+++ b/tests/steps/pressure_steps.py
@@ -12,7 +12,7 @@
 from coltsfoottray.agent.pacing import FULL_SPEED, FillerRun, Pacer
 from coltsfoottray.agent.pressure import MAX_LIGHT_PRESSURE
 from coltsfoottray.jobs.model import JobId, RunRef, TaskRef
-from standins.interference import LOOK_S, InterferedService
+from standins.interference import POLL_INTERVAL_S, InterferedService
 
 _TARGET_MS = 45.0
 _UNLOADED_MARGIN = 4.5
@@ -63,12 +63,12 @@
         task = TaskRef(job=JobId("f" * 16), occurrence=0, step=0, index=number)
         ref = RunRef(task=task, run=1)
         context.fillers.append(FillerRun(ref=ref, image=image, share=_SHARE))
-    for _ in range(round(seconds / LOOK_S)):
+    for _ in range(round(seconds / POLL_INTERVAL_S)):
         _poll(context)
 
 
 def _poll(context):
-    now_s = context.polls * LOOK_S
+    now_s = context.polls * POLL_INTERVAL_S
     context.polls += 1
     share_by_image = Counter()
     for filler in context.fillers:
@@ -79,7 +79,7 @@
             service=f"s{number}",
             job="s",
             image=_SERVICE,
-            latency_ms=service.look(now_s, share_by_image),
+            latency_ms=service.sample_latency(now_s, share_by_image),
             target_ms=_TARGET_MS,
         )
         for number, service in enumerate(context.services)
--- a/tests/steps/request_steps.py
+++ b/tests/steps/request_steps.py
@@ -17,7 +17,7 @@
 
 @given("two entries and three instances that start before the table is up")
 def make_early_world(context):
-    context.world = World(table_late_s=0.25)
+    context.world = World(table_start_delay_s=0.25)
     context.closers.append(context.world.close)
 
 
--- a/tests/steps/slow_link_steps.py
+++ b/tests/steps/slow_link_steps.py
@@ -18,7 +18,7 @@
 @when("the operator adds {count:d} routes")
 def add_routes(context, count):
     async def write():
-        context.world.cell.write_config(more_routes=count)
+        context.world.cell.write_config(unused_routes=count)
 
     context.world.fabric.faults("entry-2").link.received_bytes = 0
     context.world.run(write)
--- a/tests/support/job_world.py
+++ b/tests/support/job_world.py
@@ -9,7 +9,7 @@
 
 from coltsfoottray.errors import CommunicationError
 from coltsfoottray.http import HttpRequest, HttpResponse
-from standins.job_cell import HOST, PREFIX, JobCell
+from standins.job_cell import HOST, PATH_PREFIX, JobCell
 from tests.support.world import World
 
 __all__ = ["JobWorld", "job_id", "make_steps"]
@@ -72,7 +72,7 @@
         """Send a caller's request."""
         request = HttpRequest(
             method=method,
-            target=f"{PREFIX}{name}",
+            target=f"{PATH_PREFIX}{name}",
             header_by_name={"host": HOST, "deadline-ms": str(deadline_ms)},
             body=b"" if body is None else msgspec.json.encode(body),
         )
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -35,9 +35,9 @@
         entries: int = 2,
         instances: int = 3,
         workers: int = 0,
-        table_late_s: float = 0.0,
+        table_start_delay_s: float = 0.0,
     ):
-        self._table_late_s = table_late_s
+        self._table_start_delay_s = table_start_delay_s
         self.fabric = MemoryFabric()
         self.answer_by_label: dict[str, HttpResponse | None] = {}
         self.runs_at_answer_by_label: dict[str, int] = {}
@@ -217,7 +217,7 @@
             deployment=self._deployment,
             nursery=self._nursery,
             fabric=self.fabric,
-            table_late_s=self._table_late_s,
+            table_start_delay_s=self._table_start_delay_s,
         )
         await self.cell.start()
 
