--- a/standins/advice.py
+++ b/standins/advice.py
@@ -62,5 +62,5 @@
     def is_valid(self, ticket: str, step: str, worker: str) -> bool:
         """Whether a start with `ticket` may go on."""
         expiry = self.expiry_by_ticket.get(ticket, 0.0)
-        named = ticket.startswith(f"{step}@{worker}#")
-        return named and expiry > trio.current_time()
+        matches = ticket.startswith(f"{step}@{worker}#")
+        return matches and expiry > trio.current_time()
--- a/standins/cell.py
+++ b/standins/cell.py
@@ -85,7 +85,7 @@
         await self._write_lists(extra_customers)
         if self._table_start_delay_s:
             self.table.faults.is_down = True
-            self._nursery.start_soon(self._bring_table_up)
+            self._nursery.start_soon(self._end_table_outage)
         for number in range(1, self.deployment.entries + 1):
             await self.start_entry(f"entry-{number}")
         for number in range(1, self.deployment.service.instances + 1):
@@ -94,7 +94,7 @@
             await self._start_worker(number)
         await self._wait_until_known()
 
-    async def _bring_table_up(self) -> None:
+    async def _end_table_outage(self) -> None:
         await trio.sleep(self._table_start_delay_s)
         self.table.faults.is_down = False
 
@@ -194,12 +194,12 @@
 
     async def start_vm(self, name: str) -> Address:
         """Start a worker's stand-in and return its address."""
-        shape = self.deployment.workers
+        pool = self.deployment.workers
         stand_in = WorkerStandIn(
             capacity=Resources(
-                processors=shape.processors,
-                memory_gb=shape.memory_gb,
-                accelerators=shape.accelerators,
+                processors=pool.processors,
+                memory_gb=pool.memory_gb,
+                accelerators=pool.accelerators,
             ),
             boot=f"boot-{next(self._boots)}",
             observer=self.observer,
@@ -236,7 +236,8 @@
         plans = {name: deployment.default_plan for name in extra_customers}
         plans.update(deployment.plans)
         allowances = {
-            name: line.model_dump() for name, line in deployment.allowances.items()
+            name: allowance.model_dump()
+            for name, allowance in deployment.allowances.items()
         }
         for version, name, change in (
             (0, ListName.ALLOWANCES, allowances),
@@ -278,9 +279,9 @@
 
 async def _run_in_scope(stand_in: WorkerStandIn, scope: trio.CancelScope) -> None:
     # A scope is entered once, and that one is the server's.
-    with trio.CancelScope() as own:
+    with trio.CancelScope() as own_scope:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(stand_in.run)
             while not scope.cancel_called:
                 await trio.sleep(0.02)
-            own.cancel()
+            own_scope.cancel()
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -211,23 +211,23 @@
                 is_refused=True,
             )
         pending = _Pending()
-        is_whole = False
+        is_complete = False
         with trio.move_on_after(timeout.total_seconds()) as limit:
             is_cut = frozenset((sender, listener.process)) in self.cut
             if is_cut or link in self.silent:
                 await trio.sleep_forever()
-            listener.take(message, pending)
+            listener.accept(message, pending)
             await pending.done.wait()
             if link in self.silent:
                 await trio.sleep_forever()
             if on_begun is not None and isinstance(pending.reply, HttpResponse):
                 on_begun(pending.reply.status)
             await self.faults(sender).link.receive(_size(pending.reply), limit)
-            is_whole = True
+            is_complete = True
             await self.faults(sender).running.wait()
         if pending.error is not None:
             raise _error(Step.RECEIVE, address, pending.error)
-        if link in self.silent or not is_whole:
+        if link in self.silent or not is_complete:
             raise _error(Step.RECEIVE, address, "timeout")
         return pending.reply
 
@@ -286,7 +286,7 @@
         while self._open:
             await trio.sleep(_LATENCY_S)
 
-    def take(self, message: Any, pending: _Pending) -> None:
+    def accept(self, message: Any, pending: _Pending) -> None:
         """Begin to serve `message`."""
         assert self._nursery is not None
         self._nursery.start_soon(self._answer, message, pending)
--- a/standins/interference.py
+++ b/standins/interference.py
@@ -14,13 +14,13 @@
 __all__ = ["POLL_INTERVAL_S", "InterferedService"]
 
 POLL_INTERVAL_S = 0.5
-_KEPT = 0.35
+_PREVIOUS_WEIGHT = 0.35
 _UNLOADED_MS = 10.0
 _MEAN_LOAD = 0.42
-_SWING = 0.5
-_OWN_LOAD = 0.04
+_LOAD_AMPLITUDE = 0.5
+_LOAD_NOISE = 0.04
 # Below this part of the speed without load latencies rise no more.
-_LEAST_SPEED = 0.015
+_MIN_SPEED = 0.015
 
 
 @dataclass(kw_only=True)
@@ -44,17 +44,17 @@
 
     def load(self, now_s: float) -> float:
         """Return the part of its speed that its users take."""
-        turn = math.sin(2 * math.pi * now_s / self.period_s + self.phase)
-        return _MEAN_LOAD * (1 + _SWING * turn)
+        swing = math.sin(2 * math.pi * now_s / self.period_s + self.phase)
+        return _MEAN_LOAD * (1 + _LOAD_AMPLITUDE * swing)
 
     def sample_latency(
         self, now_s: float, share_by_image: Mapping[str, float]
     ) -> float:
         """Return its latency figure in whole ms, half a second after the last."""
-        speed = 1.0 - self.load(now_s) - self.random.gauss(0, _OWN_LOAD)
+        speed = 1.0 - self.load(now_s) - self.random.gauss(0, _LOAD_NOISE)
         for image, share in share_by_image.items():
             speed -= self.pressure_by_image.get(image, 0.0) * share
-        latency = _UNLOADED_MS / max(speed, _LEAST_SPEED)
-        kept = _KEPT if self.latency_ms else 0.0
-        self.latency_ms = kept * self.latency_ms + (1 - kept) * latency
+        latency = _UNLOADED_MS / max(speed, _MIN_SPEED)
+        weight = _PREVIOUS_WEIGHT if self.latency_ms else 0.0
+        self.latency_ms = weight * self.latency_ms + (1 - weight) * latency
         return float(round(self.latency_ms))
--- a/standins/job_worker.py
+++ b/standins/job_worker.py
@@ -18,18 +18,18 @@
 
 __all__ = ["JobWorkerStandIn", "RunObserver"]
 
-_STEP_S = 0.02
+_TICK_S = 0.02
 START_DELAY_S = 4.0
 # So long a start may be on its way and still be answered in time.
 _SLOW_START_DELAY_S = 0.65
-_HEARTBEAT_S = 1.0
+_HEARTBEAT_INTERVAL_S = 1.0
 _FAIL_AFTER_S = 0.1
 # What a task uses of its worker while it works.
-_USED_MILLI = 1000
-_FOR_EVER_S = 1e9
+_USED_MILLICORES = 1000
+_UNLIMITED_S = 1e9
 _SERVICE_START_S = 0.3
 _MAX_LEASE_MS = 10_000
-_LISTED_AT_A_TIME = 500
+_MAX_ENDS_PER_REPLY = 500
 
 
 @dataclass(kw_only=True)
@@ -73,7 +73,7 @@
     number: int
     work_s: float
     fails: bool
-    saves: bool
+    saves_checkpoints: bool
     latency_ms: float
     done_s: float = 0.0
     percent: int = 100
@@ -81,7 +81,7 @@
     @property
     def figure(self) -> float:
         """Its tail latency in ms if it has users, else thousandths of cores in use."""
-        return self.latency_ms or _USED_MILLI * self.percent / 100
+        return self.latency_ms or _USED_MILLICORES * self.percent / 100
 
 
 class JobWorkerStandIn:
@@ -121,19 +121,19 @@
         self._advice = advice
         self._transport = transport
         self._observer = observer
-        self._lives = itertools.count(1)
+        self._incarnations = itertools.count(1)
         self._nursery: trio.Nursery | None = None
-        self._begin_life()
+        self._reset()
 
-    def _begin_life(self) -> None:
-        self.born = 1_000_000 + next(self._lives)
-        self._life_began: float | None = None
+    def _reset(self) -> None:
+        self.born = 1_000_000 + next(self._incarnations)
+        self._clock_started_at: float | None = None
         self.fence = 0
-        self.until_ms = 0
+        self.lease_until_ms = 0
         self.run_by_task: dict[str, _Run] = {}
         self.ends: list[list[Any]] = []
-        self._highest_by_task: dict[str, int] = {}
-        self._numbers = itertools.count(1)
+        self._last_number_by_task: dict[str, int] = {}
+        self._end_numbers = itertools.count(1)
         self._sequence = itertools.count(1)
         self._ended = trio.Event()
 
@@ -143,18 +143,18 @@
         """Work, and report to the attendant."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            nursery.start_soon(self._report_for_ever)
+            nursery.start_soon(self._send_heartbeats)
             task_status.started()
             while True:
-                await trio.sleep(_STEP_S)
-                self._work()
+                await trio.sleep(_TICK_S)
+                self._advance_runs()
 
     def crash(self) -> None:
         """Lose everything and start a new life."""
         for run in self.run_by_task.values():
             self._observer.end(run.task)
-        self._forget_ends()
-        self._begin_life()
+        self._discard_unacknowledged()
+        self._reset()
 
     def destroy(self) -> None:
         """Lose everything, never to come back; nobody is told."""
@@ -182,21 +182,21 @@
 
     def clock_ms(self) -> int:
         """Return the worker's own clock, which starts anew with each life."""
-        if self._life_began is None:
-            self._life_began = trio.current_time()
-        return int((trio.current_time() - self._life_began) * 1000)
+        if self._clock_started_at is None:
+            self._clock_started_at = trio.current_time()
+        return int((trio.current_time() - self._clock_started_at) * 1000)
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
         """Serve the worker's interface."""
         if self.is_unreachable:
             await trio.sleep_forever()
-        response = await self._carry_out(request)
+        response = await self._dispatch(request)
         if self.is_destroyed:
             # Nor does it answer what it was asked before.
             await trio.sleep_forever()
         return response
 
-    async def _carry_out(self, request: HttpRequest) -> HttpResponse:
+    async def _dispatch(self, request: HttpRequest) -> HttpResponse:
         if request.header_by_name.get("expect-instance") != f"i-{self.name}":
             return HttpResponse(status=421)
         body = msgspec.json.decode(request.body, type=dict[str, Any])
@@ -204,22 +204,22 @@
             self.slow_starts -= 1
             await trio.sleep(_SLOW_START_DELAY_S)
         if body["fencingToken"] < self.fence:
-            return self._answer({"reason": "fence"}, status=409)
+            return self._make_response({"reason": "fence"}, status=409)
         self.fence = body["fencingToken"]
         if request.path == "/v1/run-start" and self.is_unhealthy:
             return HttpResponse(status=503)
         if request.path == "/v1/run-start":
-            return await self._take_start(body)
+            return await self._handle_start(body)
         if request.path == "/v1/run-stop":
-            return self._stop(body)
+            return self._handle_stop(body)
         if request.path == "/v1/pace":
             run = self.run_by_task.get(body["task"])
             if run is not None:
                 run.percent = body["percent"]
-            return self._answer({})
-        return await self._hold(body)
+            return self._make_response({})
+        return await self._handle_poll(body)
 
-    async def _take_start(self, body: dict[str, Any]) -> HttpResponse:
+    async def _handle_start(self, body: dict[str, Any]) -> HttpResponse:
         if self.late_starts > 0:
             self.late_starts -= 1
             await trio.sleep(START_DELAY_S)
@@ -233,52 +233,52 @@
         return response
 
     def _start(self, body: dict[str, Any]) -> HttpResponse:
-        self._extend(body.get("untilMs", 0))
+        self._extend_lease(body.get("untilMs", 0))
         task, number = body["task"], body["run"]
         held = self.run_by_task.get(task)
         if held is not None and held.number == number:
-            return self._answer({})
+            return self._make_response({})
         if body["fencingToken"] < self.fence:
-            return self._answer({"reason": "fence"}, status=409)
-        if number <= self._highest_by_task.get(task, 0):
-            return self._answer({"reason": "old"}, status=409)
+            return self._make_response({"reason": "fence"}, status=409)
+        if number <= self._last_number_by_task.get(task, 0):
+            return self._make_response({"reason": "old"}, status=409)
         if body["untilMs"] <= self.clock_ms():
-            return self._answer({"reason": "late"}, status=409)
-        wish = msgspec.json.decode(body["spec"], type=dict[str, Any])
+            return self._make_response({"reason": "late"}, status=409)
+        spec = msgspec.json.decode(body["spec"], type=dict[str, Any])
         step = task.rsplit(".", 1)[0]
         ticket = body.get("ticket", "")
-        if wish.get("needs_ticket") and not self._advice.is_valid(
+        if spec.get("needs_ticket") and not self._advice.is_valid(
             ticket, step, f"i-{self.name}"
         ):
             self.refused_tickets += 1
-            return self._answer({"reason": "ticket"}, status=409)
+            return self._make_response({"reason": "ticket"}, status=409)
         self.run_by_task[task] = _Run(
             task=task,
             number=number,
-            work_s=_FOR_EVER_S if wish.get("lasts") else wish["work_s"],
-            fails=wish.get("fails", False),
-            saves=wish.get("saves", False),
-            latency_ms=wish.get("latency_ms", 0.0),
+            work_s=_UNLIMITED_S if spec.get("lasts") else spec["work_s"],
+            fails=spec.get("fails", False),
+            saves_checkpoints=spec.get("saves", False),
+            latency_ms=spec.get("latency_ms", 0.0),
             done_s=float(body.get("checkpoint") or 0),
         )
         self._observer.begin(task, number, self.name)
         self.max_concurrent_runs = max(self.max_concurrent_runs, len(self.run_by_task))
-        return self._answer({})
+        return self._make_response({})
 
-    def _stop(self, body: dict[str, Any]) -> HttpResponse:
+    def _handle_stop(self, body: dict[str, Any]) -> HttpResponse:
         task, number = body["task"], body["run"]
         held = self.run_by_task.get(task)
         if held is not None and held.number == number:
             self._end(held, "stopped")
-        highest = self._highest_by_task.get(task, 0)
-        self._highest_by_task[task] = max(highest, number)
-        return self._answer({})
+        last_number = self._last_number_by_task.get(task, 0)
+        self._last_number_by_task[task] = max(last_number, number)
+        return self._make_response({})
 
-    async def _hold(self, body: dict[str, Any]) -> HttpResponse:
+    async def _handle_poll(self, body: dict[str, Any]) -> HttpResponse:
         self.poll_count += 1
-        self._extend(body.get("untilMs", 0))
-        seen = body["ackCursor"]
-        self.ends = [end for end in self.ends if end[0] > seen]
+        self._extend_lease(body.get("untilMs", 0))
+        acknowledged = body["ackCursor"]
+        self.ends = [end for end in self.ends if end[0] > acknowledged]
         born = self.born
         if not self.ends:
             with trio.move_on_after(body.get("waitMs", 0) / 1000):
@@ -288,71 +288,79 @@
                 step=Step.RECEIVE, peer=str(self.address), detail="the worker crashed"
             )
         rows = [
-            [run.task, run.number, self._saved(run), self._percent(run), run.figure]
+            [
+                run.task,
+                run.number,
+                self._checkpoint_of(run),
+                self._progress_percent(run),
+                run.figure,
+            ]
             for run in self.run_by_task.values()
         ]
-        listed = self.ends[:_LISTED_AT_A_TIME]
-        return self._answer({"running": rows, "finished": listed})
+        listed = self.ends[:_MAX_ENDS_PER_REPLY]
+        return self._make_response({"running": rows, "finished": listed})
 
-    def _extend(self, until_ms: int) -> None:
-        most = self.clock_ms() + _MAX_LEASE_MS
-        self.until_ms = max(self.until_ms, min(until_ms, most))
+    def _extend_lease(self, lease_until_ms: int) -> None:
+        max_until_ms = self.clock_ms() + _MAX_LEASE_MS
+        self.lease_until_ms = max(
+            self.lease_until_ms, min(lease_until_ms, max_until_ms)
+        )
 
-    def _work(self) -> None:
-        if self.clock_ms() > self.until_ms:
-            self._lapse()
+    def _advance_runs(self) -> None:
+        if self.clock_ms() > self.lease_until_ms:
+            self._expire_lease()
         if self.is_hung:
             return
         for run in list(self.run_by_task.values()):
-            run.done_s += _STEP_S * run.percent / 100
+            run.done_s += _TICK_S * run.percent / 100
             if self.fails_everything and run.done_s > _FAIL_AFTER_S:
                 self._end(run, "failed")
                 continue
             if run.done_s >= run.work_s:
                 self._end(run, "failed" if run.fails else "done")
 
-    def _lapse(self) -> None:
+    def _expire_lease(self) -> None:
         """End every run; ends that nobody has acknowledged do not count."""
         for run in list(self.run_by_task.values()):
             self._end(run, "lapsed")
-        self._forget_ends()
+        self._discard_unacknowledged()
 
-    def _forget_ends(self) -> None:
-        for _, task, _, how, _ in self.ends:
-            if how == "done":
+    def _discard_unacknowledged(self) -> None:
+        for _, task, _, kind, _ in self.ends:
+            if kind == "done":
                 self._observer.done.discard(task)
 
-    def _end(self, run: _Run, how: str) -> None:
+    def _end(self, run: _Run, kind: str) -> None:
         del self.run_by_task[run.task]
         self._observer.end(run.task)
-        if how == "done":
+        if kind == "done":
             self._observer.done.add(run.task)
             self._observer.ever_done.add(run.task)
-        self._highest_by_task[run.task] = run.number
-        number = next(self._numbers)
-        self.ends.append([number, run.task, run.number, how, self._saved(run)])
+        self._last_number_by_task[run.task] = run.number
+        number = next(self._end_numbers)
+        self.ends.append([number, run.task, run.number, kind, self._checkpoint_of(run)])
         ended, self._ended = self._ended, trio.Event()
         ended.set()
 
-    def _saved(self, run: _Run) -> str:
-        return str(int(run.done_s)) if run.saves and run.done_s >= 1 else ""
+    def _checkpoint_of(self, run: _Run) -> str:
+        return str(int(run.done_s)) if run.saves_checkpoints and run.done_s >= 1 else ""
 
-    def _percent(self, run: _Run) -> float:
-        if run.work_s >= _FOR_EVER_S:
+    def _progress_percent(self, run: _Run) -> float:
+        if run.work_s >= _UNLIMITED_S:
             return 100.0 if run.done_s > _SERVICE_START_S else 0.0
         return min(100.0, 100.0 * run.done_s / run.work_s)
 
-    def _answer(self, body: dict[str, Any], status: int = 200) -> HttpResponse:
+    def _make_response(self, body: dict[str, Any], status: int = 200) -> HttpResponse:
         complete = {"clockMs": self.clock_ms(), "born": self.born, **body}
         return HttpResponse.of_json(complete, status=status)
 
-    async def _report_for_ever(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             if self.sends_heartbeats and not self.is_unreachable:
-                await self.report()
-            await trio.sleep(_HEARTBEAT_S)
+                await self.send_heartbeat()
+            await trio.sleep(_HEARTBEAT_INTERVAL_S)
 
-    async def report(self) -> None:
+    async def send_heartbeat(self) -> None:
         """Say to the attendant how things are."""
         body = {
             "service": "svc",
--- a/standins/links.py
+++ b/standins/links.py
@@ -11,7 +11,7 @@
 __all__ = ["AccessLink"]
 
 # What travels at once of an answer; answers on one link take turns after it.
-_PIECE_BYTES = 1500
+_CHUNK_BYTES = 1500
 
 
 @dataclass(kw_only=True)
@@ -28,15 +28,15 @@
 
     bytes_per_s: float | None = None
     received_bytes: int = 0
-    _turn: trio.Lock = field(default_factory=trio.Lock)
+    _lock: trio.Lock = field(default_factory=trio.Lock)
 
     async def receive(self, size: int, limit: trio.CancelScope) -> None:
         """Let `size` bytes come in; `limit` is extended as they do."""
         while size > 0:
-            piece = min(size, _PIECE_BYTES)
+            chunk = min(size, _CHUNK_BYTES)
             if self.bytes_per_s is not None:
-                async with self._turn:
-                    await trio.sleep(piece / self.bytes_per_s)
-            self.received_bytes += piece
+                async with self._lock:
+                    await trio.sleep(chunk / self.bytes_per_s)
+            self.received_bytes += chunk
             extend(limit)
-            size -= piece
+            size -= chunk
--- a/standins/make_trace.py
+++ b/standins/make_trace.py
@@ -9,7 +9,7 @@
 
 __all__ = ["make_demo_traces"]
 
-_LENGTH_S = 20.0
+_DURATION_S = 20.0
 
 
 def make_demo_traces(folder: Path) -> None:
@@ -22,7 +22,7 @@
     customers = ["arolwg-gogledd", "arolwg-de", "prisiau-bach"]
     events = _requests(random, customers, "quote-check", "qc", 160, 25, True)
     events += _requests(random, customers, "quote-submission", "qs", 60, 40, False)
-    events += _repeats(events, random, "quote-submission")
+    events += _retries(events, random, "quote-submission")
     for number in range(18):
         customer = customers[number % 2]
         events.append(_task(random, customer, "basket-rebuild", f"br-{number}", 8, 24))
@@ -73,7 +73,7 @@
 ) -> list[dict[str, object]]:
     return [
         {
-            "at": round(random.uniform(0.0, _LENGTH_S), 3),
+            "at": round(random.uniform(0.0, _DURATION_S), 3),
             "event": "request",
             "customer": random.choice(customers),
             "kind": kind,
@@ -86,19 +86,19 @@
     ]
 
 
-def _repeats(
+def _retries(
     events: list[dict[str, object]], random: Random, kind: str
 ) -> list[dict[str, object]]:
     """Return callers' own retries of a tenth of the requests of `kind`."""
     originals = [event for event in events if event.get("kind") == kind]
-    repeats = []
+    retries = []
     for event in random.sample(originals, len(originals) // 10):
-        repeat = dict(event, id=f"{event['id']}-again", retry_of=event["id"])
+        retry = dict(event, id=f"{event['id']}-again", retry_of=event["id"])
         at = event["at"]
         assert isinstance(at, float)
-        repeat["at"] = round(at + random.uniform(0.01, 1.0), 3)
-        repeats.append(repeat)
-    return repeats
+        retry["at"] = round(at + random.uniform(0.01, 1.0), 3)
+        retries.append(retry)
+    return retries
 
 
 def _task(
@@ -112,7 +112,7 @@
 ) -> dict[str, object]:
     runtime_s = round(random.uniform(2.0, 6.0), 2)
     return {
-        "at": round(random.uniform(0.0, _LENGTH_S / 2), 3),
+        "at": round(random.uniform(0.0, _DURATION_S / 2), 3),
         "event": "task",
         "customer": customer,
         "kind": kind,
--- a/standins/metadata_table.py
+++ b/standins/metadata_table.py
@@ -81,7 +81,7 @@
         """Write a row as the operator does."""
         text = base64.b64encode(msgspec.json.encode(value)).decode()
         self.version += 1
-        self._note(_Ref(table, part, key), text, is_deleted=False)
+        self._record_change(_Ref(table, part, key), text, is_deleted=False)
 
     def value_of(self, table: str, part: str, key: str) -> object:
         """Return a row's decoded value, none if there is no such row."""
@@ -112,8 +112,8 @@
         return HttpResponse(status=404)
 
     async def _transact(self, tx: _Tx) -> HttpResponse:
-        entries = [*tx.expectedRevision, *tx.upserts, *tx.remove]
-        is_valid = len(entries) <= 100 and len({each.part for each in entries}) == 1
+        items = [*tx.expectedRevision, *tx.upserts, *tx.remove]
+        is_valid = len(items) <= 100 and len({item.part for item in items}) == 1
         if not is_valid:
             return HttpResponse(status=400)
         if self.late_writes > 0:
@@ -126,27 +126,27 @@
         return response
 
     def _apply(self, tx: _Tx) -> HttpResponse:
-        broken = [
-            each.ref
-            for each in tx.expectedRevision
-            if self._version_of(each.ref) != each.schemaVersion
+        conflicts = [
+            item.ref
+            for item in tx.expectedRevision
+            if self._version_of(item.ref) != item.schemaVersion
         ]
-        if broken:
-            found = [self.current_by_ref.get(ref) for ref in broken]
-            rows = [_as_row(change) for change in found if change is not None]
-            return self._answer({"rows": rows}, status=412)
+        if conflicts:
+            found = [self.current_by_ref.get(ref) for ref in conflicts]
+            rows = [_encode_row(change) for change in found if change is not None]
+            return self._make_response({"rows": rows}, status=412)
         self.version += 1
         for upsert in tx.upserts:
-            self._note(upsert.ref, upsert.value, is_deleted=False)
-        for gone in tx.remove:
-            self._note(gone.ref, "", is_deleted=True)
-        return self._answer({})
+            self._record_change(upsert.ref, upsert.value, is_deleted=False)
+        for removal in tx.remove:
+            self._record_change(removal.ref, "", is_deleted=True)
+        return self._make_response({})
 
     def _version_of(self, ref: _Ref) -> int:
         change = self.current_by_ref.get(ref)
         return 0 if change is None else change.version
 
-    def _note(self, ref: _Ref, value: str, *, is_deleted: bool) -> None:
+    def _record_change(self, ref: _Ref, value: str, *, is_deleted: bool) -> None:
         change = _Change(
             ref=ref, version=self.version, value=value, is_deleted=is_deleted
         )
@@ -168,30 +168,34 @@
             and ref.key >= query.get("from", "")
         ]
         found.sort(key=lambda change: change.ref.key)
-        rows = [_as_row(change) for change in found[:limit]]
-        return self._answer({"rows": rows, "hasMore": len(found) > limit})
+        rows = [_encode_row(change) for change in found[:limit]]
+        return self._make_response({"rows": rows, "hasMore": len(found) > limit})
 
     async def _feed(self, query: dict[str, str]) -> HttpResponse:
         after = int(query["after"])
         with trio.move_on_after(int(query["waitMs"]) / 1000):
-            while not self._since(query["table"], after):
+            while not self._changes_since(query["table"], after):
                 if after < self.dropped_up_to:
                     break
                 await self._changed.wait()
         if after < self.dropped_up_to:
             return HttpResponse(status=410)
-        rows = [_as_row(change) for change in self._since(query["table"], after)]
-        return self._answer({"rows": rows})
+        rows = [
+            _encode_row(change) for change in self._changes_since(query["table"], after)
+        ]
+        return self._make_response({"rows": rows})
 
-    def _since(self, table: str, after: int) -> list[_Change]:
+    def _changes_since(self, table: str, after: int) -> list[_Change]:
         return [c for c in self.changes if c.ref.table == table and c.version > after]
 
-    def _answer(self, body: dict[str, object], status: int = 200) -> HttpResponse:
+    def _make_response(
+        self, body: dict[str, object], status: int = 200
+    ) -> HttpResponse:
         complete = {"schemaVersion": self.version, "nowMs": 0, **body}
         return HttpResponse.of_json(complete, status=status)
 
 
-def _as_row(change: _Change) -> dict[str, object]:
+def _encode_row(change: _Change) -> dict[str, object]:
     row: dict[str, object] = {
         "table": change.ref.table,
         "part": change.ref.part,
--- a/standins/observer.py
+++ b/standins/observer.py
@@ -69,6 +69,6 @@
         """
         self.lost_results_by_task[task] += 1
 
-    def record_allocation(self, *, is_over: bool) -> None:
+    def record_allocation(self, *, is_overcommitted: bool) -> None:
         """Note what a worker is committed to after a start."""
-        self.overcommitted += is_over
+        self.overcommitted += is_overcommitted
--- a/standins/player.py
+++ b/standins/player.py
@@ -19,7 +19,7 @@
 from coltsfoottray.tasks import TaskRow
 from coltsfoottray.types import Address, Kind, TaskState
 from standins.cell import Cell
-from standins.report import LatencyLine, Report
+from standins.report import LatencySummary, Report
 from standins.trace import (
     CancelEvent,
     EditEvent,
@@ -33,9 +33,9 @@
 __all__ = ["Player"]
 
 _CALL_TIMEOUT = timedelta(seconds=40)
-_ATTEMPTS = 40
-_PAUSE_S = 0.25
-_SLOW_STORE_S = 0.5
+_MAX_ATTEMPTS = 40
+_RETRY_INTERVAL_S = 0.25
+_STORE_DELAY_S = 0.5
 
 
 class Player:
@@ -64,7 +64,7 @@
         self._report_progress = report_progress
         self._completion_timeout_s = completion_timeout_s
         self._client = cell.fabric.transport("callers")
-        self._turn = itertools.count(self._random.randrange(1000))
+        self._entry_counter = itertools.count(self._random.randrange(1000))
         self._status_by_request: dict[str, int] = {}
         self._latencies_by_kind: dict[str, list[float]] = defaultdict(list)
         self._customer_by_task: dict[str, str] = {}
@@ -73,30 +73,30 @@
 
     async def play(self, events: Sequence[Event]) -> Report:
         """Play `events` and return what they came to."""
-        began = trio.current_time()
+        started_at = trio.current_time()
         async with trio.open_nursery() as nursery:
             for event in events:
-                await trio.sleep_until(began + event.at)
+                await trio.sleep_until(started_at + event.at)
                 nursery.start_soon(self._play_event, event)
         self._report_progress("all events played; waiting for the tasks to end")
         with trio.move_on_after(self._completion_timeout_s):
-            while self._open_tasks():
-                await trio.sleep(_PAUSE_S)
+            while self._unfinished_tasks():
+                await trio.sleep(_RETRY_INTERVAL_S)
         return self._report()
 
     async def _play_event(self, event: Event) -> None:
         if isinstance(event, RequestEvent):
-            await self._request(event)
+            await self._send_request(event)
         elif isinstance(event, TaskEvent):
-            await self._task(event)
+            await self._submit_task(event)
         elif isinstance(event, CancelEvent):
-            await self._cancel(event)
+            await self._cancel_task(event)
         elif isinstance(event, EditEvent):
-            await self._edit(event)
+            await self._edit_list(event)
         else:
-            await self._fault(event)
+            await self._inject_fault(event)
 
-    async def _request(self, event: RequestEvent) -> None:
+    async def _send_request(self, event: RequestEvent) -> None:
         key = event.retry_of or event.id
         request = HttpRequest(
             method="POST",
@@ -109,10 +109,10 @@
             },
             body=event.id.encode(),
         )
-        began = trio.current_time()
+        started_at = trio.current_time()
         try:
             response = await self._client.send(
-                self._entry(), request, timeout=_CALL_TIMEOUT
+                self._next_entry(), request, timeout=_CALL_TIMEOUT
             )
         except CommunicationError as error:
             self._report_progress(f"request {event.id}: {error}")
@@ -120,7 +120,7 @@
             return
         self._status_by_request[event.id] = response.status
         if response.status == 200:
-            elapsed_ms = (trio.current_time() - began) * 1000
+            elapsed_ms = (trio.current_time() - started_at) * 1000
             self._latencies_by_kind[event.kind].append(elapsed_ms)
             self._check_answer(event, key, response)
         elif response.status in (403, 503) and event.retry_of is None:
@@ -135,7 +135,7 @@
             self._report_progress(f"request {event.id}: somebody else's answer")
             self._cell.observer.doubled.add(event.id)
 
-    async def _task(self, event: TaskEvent) -> None:
+    async def _submit_task(self, event: TaskEvent) -> None:
         payload: dict[str, object] = {"outcome": event.outcome}
         if event.real_runtime_s is not None:
             payload["real_runtime_s"] = event.real_runtime_s
@@ -161,11 +161,11 @@
             status = None if response is None else response.body.decode()
             self._report_progress(f"task {event.id} not accepted: {status}")
 
-    async def _cancel(self, event: CancelEvent) -> None:
+    async def _cancel_task(self, event: CancelEvent) -> None:
         customer = self._customer_by_task[event.id]
         await self._send_until_certain("DELETE", f"/tasks/{event.id}", customer, b"")
 
-    async def _edit(self, event: EditEvent) -> None:
+    async def _edit_list(self, event: EditEvent) -> None:
         response = await self._send_until_certain("GET", "/lists", "operator", b"")
         assert response is not None
         lists = msgspec.json.decode(response.body, type=Lists)
@@ -183,7 +183,7 @@
             f"edit of {event.list.value} {event.change}: status {status}"
         )
 
-    async def _fault(self, event: FaultEvent) -> None:
+    async def _inject_fault(self, event: FaultEvent) -> None:
         self._report_progress(f"fault: {event.what.value} {event.target}")
         cell, faults = self._cell, self._cell.table.faults
         if event.what is FaultKind.STORE_DOWN:
@@ -191,7 +191,7 @@
             await trio.sleep(event.for_s)
             faults.is_down = False
         elif event.what is FaultKind.STORE_SLOW:
-            faults.delay_s = _SLOW_STORE_S
+            faults.delay_s = _STORE_DELAY_S
             await trio.sleep(event.for_s)
             faults.delay_s = 0.0
         elif event.what is FaultKind.STORE_ANSWER_LOST:
@@ -214,21 +214,21 @@
             body=body,
         )
         response: HttpResponse | None = None
-        for _ in range(_ATTEMPTS):
+        for _ in range(_MAX_ATTEMPTS):
             try:
-                response = await self._client.send(self._entry(), request)
+                response = await self._client.send(self._next_entry(), request)
             except CommunicationError as error:
                 self._report_progress(f"{method} {target}: {error}")
             else:
                 if response.status not in (503, 504):
                     return response
-            await trio.sleep(_PAUSE_S)
+            await trio.sleep(_RETRY_INTERVAL_S)
         return response
 
-    def _entry(self) -> Address:
+    def _next_entry(self) -> Address:
         """Return the entry whose turn it is at the balancer."""
         entries = self._cell.live_entries()
-        entry = entries[next(self._turn) % len(entries)]
+        entry = entries[next(self._entry_counter) % len(entries)]
         return entry.describe().http
 
     def _rows(self) -> dict[str, TaskRow]:
@@ -239,7 +239,7 @@
         ]
         return {row.spec.task.partition("/")[2]: row for row in rows}
 
-    def _open_tasks(self) -> list[str]:
+    def _unfinished_tasks(self) -> list[str]:
         rows = self._rows()
         return [t for t in self._accepted if t in rows and not rows[t].state.is_final]
 
@@ -261,7 +261,7 @@
             overcommitted=observer.overcommitted,
             false_refusals=self._false_refusals,
             latency_ms={
-                kind: _as_line(values)
+                kind: _summarize(values)
                 for kind, values in sorted(self._latencies_by_kind.items())
             },
         )
@@ -283,10 +283,10 @@
         return lost
 
 
-def _as_line(values: list[float]) -> LatencyLine:
+def _summarize(values: list[float]) -> LatencySummary:
     ordered = sorted(values)
 
     def at(part: float) -> float:
         return round(ordered[min(len(ordered) - 1, math.floor(part * len(ordered)))], 2)
 
-    return LatencyLine(count=len(ordered), p50=at(0.50), p99=at(0.99))
+    return LatencySummary(count=len(ordered), p50=at(0.50), p99=at(0.99))
--- a/standins/report.py
+++ b/standins/report.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-__all__ = ["LatencyLine", "Report"]
+__all__ = ["LatencySummary", "Report"]
 
 
-class LatencyLine(msgspec.Struct, frozen=True, kw_only=True):
+class LatencySummary(msgspec.Struct, frozen=True, kw_only=True):
     """Latencies of the answered requests of one kind, in milliseconds."""
 
     count: int
@@ -38,7 +38,7 @@
     doubled: int
     overcommitted: int
     false_refusals: int
-    latency_ms: dict[str, LatencyLine]
+    latency_ms: dict[str, LatencySummary]
 
     @property
     def is_clean(self) -> bool:
--- a/standins/table.py
+++ b/standins/table.py
@@ -45,16 +45,16 @@
             return response
         if request.path == "/rows":
             self.reads += 1
-            return HttpResponse.of_json(self._rows(request.query))
+            return HttpResponse.of_json(self._read_rows(request.query))
         if request.path.startswith("/objects/"):
-            return self._object(request)
+            return self._handle_object(request)
         return HttpResponse(status=404)
 
     def _commit(self, transaction: Transaction) -> HttpResponse:
         conditions: list[Check | Put] = [*transaction.checks, *transaction.puts]
-        broken = [c.key for c in conditions if self._version(c.key) != c.version]
-        if broken:
-            rows = [self.row_by_key[key] for key in broken if key in self.row_by_key]
+        conflicts = [c.key for c in conditions if self._version(c.key) != c.version]
+        if conflicts:
+            rows = [self.row_by_key[key] for key in conflicts if key in self.row_by_key]
             return HttpResponse.of_json(TableConflict(rows=rows), status=409)
         self.commits += 1
         self.rows_written += len(transaction.puts)
@@ -75,7 +75,7 @@
             self.row_by_key[put.key] = Row(key=put.key, value=value, version=version)
         return version
 
-    def _rows(self, query: dict[str, str]) -> list[Row]:
+    def _read_rows(self, query: dict[str, str]) -> list[Row]:
         if "key" in query:
             row = self.row_by_key.get(query["key"])
             return [] if row is None else [row]
@@ -86,7 +86,7 @@
             if key.startswith(prefix)
         ]
 
-    def _object(self, request: HttpRequest) -> HttpResponse:
+    def _handle_object(self, request: HttpRequest) -> HttpResponse:
         name = unquote(request.path.removeprefix("/objects/"))
         if request.method == "PUT":
             self.object_by_name[name] = request.body
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -16,8 +16,8 @@
 
 __all__ = ["WorkerStandIn"]
 
-_STEP_S = 0.05
-FAILED_EXIT = 1
+_TICK_S = 0.05
+FAILED_EXIT_CODE = 1
 
 
 @dataclass(kw_only=True)
@@ -26,7 +26,7 @@
     done_s: float = 0.0
     exit_code: int | None = None
     is_running: bool = False
-    has_begun: bool = False
+    has_started: bool = False
     is_result_lost: bool = False
 
 
@@ -51,14 +51,14 @@
         self._objects = objects
         self._attempt_by_task: dict[TaskId, _Attempt] = {}
         self._stopped: set[str] = set()
-        self._lease_until = trio.current_time()
+        self._lease_expires_at = trio.current_time()
         self._holder = ""
 
     async def run(self) -> None:
         """Let tasks advance; cancel this to lose the worker with all it runs."""
         try:
             while True:
-                await trio.sleep(_STEP_S)
+                await trio.sleep(_TICK_S)
                 for attempt in self._attempt_by_task.values():
                     self._advance(attempt)
         finally:
@@ -68,12 +68,12 @@
 
     def restart(self) -> None:
         """Crash and be back at once, empty and with no lease."""
-        for attempt in self._attempts():
+        for attempt in self._list_attempts():
             self._suspend(attempt)
             self._lose_result(attempt)
         self._attempt_by_task.clear()
         self._stopped.clear()
-        self._lease_until = trio.current_time()
+        self._lease_expires_at = trio.current_time()
         self._holder = ""
         self.boot += "-anew"
 
@@ -86,23 +86,25 @@
         if request.path == "/renew":
             return self._renew(request.query)
         if request.path == "/tasks":
-            return HttpResponse.of_json([self._as_report(a) for a in self._attempts()])
-        _, _, task, attempt, verb = request.path.split("/")
-        return self._act(verb, TaskId(unquote(task)), int(attempt), request)
+            return HttpResponse.of_json(
+                [self._make_report(a) for a in self._list_attempts()]
+            )
+        _, _, task, attempt, action = request.path.split("/")
+        return self._handle_action(action, TaskId(unquote(task)), int(attempt), request)
 
-    def _act(
-        self, verb: str, task: TaskId, attempt: int, request: HttpRequest
+    def _handle_action(
+        self, action: str, task: TaskId, attempt: int, request: HttpRequest
     ) -> HttpResponse:
         held = self._attempt_by_task.get(task)
         is_held = held is not None and held.start.attempt == attempt
-        if verb == "start":
+        if action == "start":
             return self._start(request.decode(TaskStart))
-        if verb == "stop":
+        if action == "stop":
             self._stopped.add(f"{task}#{attempt}")
-        if held is not None and is_held and verb in ("stop", "forget"):
+        if held is not None and is_held and action in ("stop", "forget"):
             self._suspend(held)
             del self._attempt_by_task[task]
-        if held is not None and is_held and verb == "checkpoint":
+        if held is not None and is_held and action == "checkpoint":
             name = request.query["name"]
             self._objects[name] = msgspec.json.encode(held.done_s)
         return HttpResponse.of_json(True)
@@ -122,18 +124,22 @@
             self._observer.record_start(
                 start.task, self._attempt_by_task[start.task].done_s
             )
-            total = Resources.total([a.start.demand for a in self._unfinished()])
-            self._observer.record_allocation(is_over=not total.fits_in(self.capacity))
-            self._advance(self._attempt_by_task[start.task], step_s=0.0)
+            total = Resources.total(
+                [a.start.demand for a in self._unfinished_attempts()]
+            )
+            self._observer.record_allocation(
+                is_overcommitted=not total.fits_in(self.capacity)
+            )
+            self._advance(self._attempt_by_task[start.task], elapsed_s=0.0)
         return HttpResponse.of_json(True)
 
     def _renew(self, query: dict[str, str]) -> HttpResponse:
         self._holder = query["holder"]
-        self._lease_until = trio.current_time() + float(query["seconds"])
+        self._lease_expires_at = trio.current_time() + float(query["seconds"])
         return HttpResponse.of_json(True)
 
-    def _advance(self, attempt: _Attempt, step_s: float = _STEP_S) -> None:
-        has_lapsed = trio.current_time() >= self._lease_until
+    def _advance(self, attempt: _Attempt, elapsed_s: float = _TICK_S) -> None:
+        has_lapsed = trio.current_time() >= self._lease_expires_at
         if attempt.exit_code is not None:
             if has_lapsed:
                 self._lose_result(attempt)
@@ -146,10 +152,10 @@
             self._observer.begin_task(
                 attempt.start.task,
                 attempt.start.attempt,
-                is_resumed=attempt.has_begun,
+                is_resumed=attempt.has_started,
             )
-            attempt.has_begun = True
-        attempt.done_s += step_s
+            attempt.has_started = True
+        attempt.done_s += elapsed_s
         payload = attempt.start.payload
         runtime = payload.get("real_runtime_s", attempt.start.runtime_s)
         assert isinstance(runtime, int | float)
@@ -158,7 +164,7 @@
 
     def _end(self, attempt: _Attempt, *, fails: bool) -> None:
         self._suspend(attempt)
-        attempt.exit_code = FAILED_EXIT if fails or self.fails_everything else 0
+        attempt.exit_code = FAILED_EXIT_CODE if fails or self.fails_everything else 0
         if attempt.exit_code == 0:
             self._observer.finish_task(attempt.start.task)
 
@@ -180,13 +186,13 @@
             attempt.is_running = False
             self._observer.end_task(attempt.start.task)
 
-    def _attempts(self) -> list[_Attempt]:
+    def _list_attempts(self) -> list[_Attempt]:
         return list(self._attempt_by_task.values())
 
-    def _unfinished(self) -> list[_Attempt]:
-        return [a for a in self._attempts() if a.exit_code is None]
+    def _unfinished_attempts(self) -> list[_Attempt]:
+        return [a for a in self._list_attempts() if a.exit_code is None]
 
-    def _as_report(self, attempt: _Attempt) -> RunningTask:
+    def _make_report(self, attempt: _Attempt) -> RunningTask:
         return RunningTask(
             task=attempt.start.task,
             attempt=attempt.start.attempt,
--- a/tests/steps/job_fault_steps.py
+++ b/tests/steps/job_fault_steps.py
@@ -98,7 +98,7 @@
 
 def bring_worker_back(world, name):
     world.restart_daemon(name)
-    world.run(world.cell.worker_by_name[name].report)
+    world.run(world.cell.worker_by_name[name].send_heartbeat)
 
 
 @when("{name} is killed and started anew after {seconds:d} s")
@@ -172,21 +172,21 @@
 def be_heard(context, name):
     worker = context.world.cell.worker_by_name[name]
     worker.sends_heartbeats = True
-    context.world.run(worker.report)
+    context.world.run(worker.send_heartbeat)
 
 
 @when("{name}'s machine crashes and reports at once")
 def crash_and_report(context, name):
     worker = context.world.cell.worker_by_name[name]
     worker.crash()
-    context.world.run(worker.report)
+    context.world.run(worker.send_heartbeat)
 
 
 @when("{name}'s machine drains and reports at once")
 def drain_and_report(context, name):
     worker = context.world.cell.worker_by_name[name]
     worker.is_draining = True
-    context.world.run(worker.report)
+    context.world.run(worker.send_heartbeat)
 
 
 @when("{name}'s machine is gone for good")
--- a/tests/steps/lost_steps.py
+++ b/tests/steps/lost_steps.py
@@ -116,7 +116,7 @@
     world.advance(0.5)
     (run,) = worker.run_by_task.values()
     world.wait_until(lambda: run.done_s > run.work_s - 0.06, step_s=0.005)
-    hold = worker._hold
+    hold = worker._handle_poll
     looks = []
 
     async def answer(body):
@@ -125,8 +125,8 @@
             await trio.sleep_forever()
         return await hold(body)
 
-    worker._hold = answer
-    world.run(worker.report)
+    worker._handle_poll = answer
+    world.run(worker.send_heartbeat)
     worker.sends_heartbeats = True
 
 
@@ -150,7 +150,7 @@
     async def never(body):
         await trio.sleep_forever()
 
-    context.world.cell.worker_by_name[name]._take_start = never
+    context.world.cell.worker_by_name[name]._handle_start = never
 
 
 @when('the VM that runs "{task}" starts anew, empty, beside its attendant')
@@ -272,7 +272,7 @@
 
 def _restart_vm(worker):
     """Empty it, but for the lease: renewed again before its next life was seen."""
-    for attempt in worker._attempts():
+    for attempt in worker._list_attempts():
         worker._suspend(attempt)
         worker._lose_result(attempt)
     worker._attempt_by_task.clear()
