--- a/standins/job_worker.py
+++ b/standins/job_worker.py
@@ -1,4 +1,4 @@
-"""A worker of the platform, in memory, and what its runs are held against."""
+"""In-memory worker of the platform for jobs, and an observer that checks its runs."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 _TICK_S = 0.02
 START_DELAY_S = 4.0
-# So long a start may be on its way and still be answered in time.
+# Delay with which a start is still answered before its sender times out.
 _SLOW_START_DELAY_S = 0.65
 _HEARTBEAT_INTERVAL_S = 1.0
 _FAIL_AFTER_S = 0.1
-# What a task uses of its worker while it works.
+# Usage that a running task reports at full speed.
 _USED_MILLICORES = 1000
 _UNLIMITED_S = 1e9
 _SERVICE_START_S = 0.3
@@ -34,17 +34,19 @@
 
 @dataclass(kw_only=True)
 class RunObserver:
-    """Counts what must never happen, over all workers.
+    """Records the runs on all workers, and violations of what must never happen.
 
     Parameters
     ----------
     violations : list of str
-        Two runs of a task at once, and starts after a task has ended well.
+        Descriptions of two runs of a task at the same time, and of starts after a
+        task has succeeded.
     done : set of str
-        Tasks that ended well, but for those whose end only a lost life knew; whether
-        another has heard of it is not asked.
+        Tasks that have succeeded, without those whose end was unacknowledged when
+        their worker's incarnation or lease ended. It is not checked whether another
+        process has learned of such an end.
     ever_done : set of str
-        All that ever ended well.
+        All tasks that have ever succeeded.
     """
 
     running_by_task: Counter[str] = field(default_factory=Counter)
@@ -54,16 +56,16 @@
     violations: list[str] = field(default_factory=list)
 
     def begin(self, task: str, run: int, worker: str) -> None:
-        """Note a start."""
+        """Record the start of `run` of `task` on `worker`."""
         self.starts.append((task, run, worker))
         self.running_by_task[task] += 1
         if self.running_by_task[task] > 1:
-            self.violations.append(f"{task} runs twice, at last on {worker}")
+            self.violations.append(f"{task} runs twice at once, last on {worker}")
         if task in self.done:
-            self.violations.append(f"{task} started on {worker} after its end")
+            self.violations.append(f"{task} started on {worker} after it had succeeded")
 
     def end(self, task: str) -> None:
-        """Note that a run is over, however."""
+        """Record the end of a run of `task`, for whatever reason."""
         self.running_by_task[task] -= 1
 
 
@@ -80,14 +82,16 @@
 
     @property
     def figure(self) -> float:
-        """Its tail latency in ms if it has users, else thousandths of cores in use."""
+        """Tail latency in ms of a service's run, or millicores in use of any other."""
         return self.latency_ms or _USED_MILLICORES * self.percent / 100
 
 
 class JobWorkerStandIn:
-    """Runs tasks while its lease lasts, at the platform's interface.
+    """Runs tasks while its lease lasts, and serves the platform's interface.
 
-    A task's payload is JSON: `work_s`, and `fails`, `saves` or `lasts` where true.
+    A task's payload is JSON with the key `work_s`. Further keys: `fails`, `saves` (it
+    writes checkpoints), `lasts` (it runs until it is stopped), `needs_ticket` and
+    `latency_ms` (the tail latency that it reports).
     """
 
     def __init__(
@@ -103,6 +107,7 @@
     ) -> None:
         self.name = name
         self.address = address
+        # Numbers of starts to run unanswered, to run late and unanswered, and to delay.
         self.unanswered_starts = 0
         self.late_starts = 0
         self.slow_starts = 0
@@ -111,6 +116,7 @@
         self.is_destroyed = False
         self.sends_heartbeats = True
         self.is_draining = False
+        # While hung, it answers calls, but its runs make no progress.
         self.is_hung = False
         self.poll_count = 0
         self.refused_tickets = 0
@@ -140,7 +146,7 @@
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Work, and report to the attendant."""
+        """Advance the runs and send heartbeats to the attendant, until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             nursery.start_soon(self._send_heartbeats)
@@ -150,20 +156,20 @@
                 self._advance_runs()
 
     def crash(self) -> None:
-        """Lose everything and start a new life."""
+        """Lose all runs and unacknowledged ends, and start a new incarnation."""
         for run in self.run_by_task.values():
             self._observer.end(run.task)
         self._discard_unacknowledged()
         self._reset()
 
     def destroy(self) -> None:
-        """Lose everything, never to come back; nobody is told."""
+        """Lose everything without notice and stay unreachable for good."""
         self.crash()
         self.is_unreachable = True
         self.is_destroyed = True
 
     async def deregister(self) -> None:
-        """Say that it leaves and be gone."""
+        """Deregister from the attendant, then end all runs and become unreachable."""
         request = HttpRequest(
             method="POST", target=f"/v1/instances/i-{self.name}/deregister"
         )
@@ -176,23 +182,23 @@
         self.run_by_task.clear()
 
     def finish_all(self) -> None:
-        """Let all work that is there come to its end now."""
+        """Mark the work of all runs as done, so that they end at the next tick."""
         for run in self.run_by_task.values():
             run.done_s = run.work_s
 
     def clock_ms(self) -> int:
-        """Return the worker's own clock, which starts anew with each life."""
+        """Return the worker's own clock in ms; each incarnation restarts it."""
         if self._clock_started_at is None:
             self._clock_started_at = trio.current_time()
         return int((trio.current_time() - self._clock_started_at) * 1000)
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Serve the worker's interface."""
+        """Serve the platform's interface of a worker."""
         if self.is_unreachable:
             await trio.sleep_forever()
         response = await self._dispatch(request)
         if self.is_destroyed:
-            # Nor does it answer what it was asked before.
+            # Requests that arrived before the destruction get no answer either.
             await trio.sleep_forever()
         return response
 
@@ -320,7 +326,7 @@
                 self._end(run, "failed" if run.fails else "done")
 
     def _expire_lease(self) -> None:
-        """End every run; ends that nobody has acknowledged do not count."""
+        """End every run; ends without an acknowledgement no longer count as done."""
         for run in list(self.run_by_task.values()):
             self._end(run, "lapsed")
         self._discard_unacknowledged()
@@ -361,7 +367,7 @@
             await trio.sleep(_HEARTBEAT_INTERVAL_S)
 
     async def send_heartbeat(self) -> None:
-        """Say to the attendant how things are."""
+        """Send a heartbeat to the attendant."""
         body = {
             "service": "svc",
             "address": str(self.address),
@@ -383,5 +389,5 @@
                 self._attendant, request, timeout=timedelta(seconds=1)
             )
         except CommunicationError:
-            # A worker does not mind; it reports again a second later.
+            # Ignored, because the next heartbeat follows a second later.
             return
