--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -1,4 +1,4 @@
-"""How the processes of a cell reach each other: loopback, or memory."""
+"""Networks between the processes of a cell: loopback sockets, or in memory."""
 
 from __future__ import annotations
 
@@ -37,15 +37,15 @@
 
 
 class Fabric(abc.ABC):
-    """Gives each process its servers and clients."""
+    """Provides each process with its servers and clients."""
 
     @abc.abstractmethod
     def kernel(self, process: str) -> Kernel:
-        """Return a kernel in which the process's ends are registered."""
+        """Return a kernel with what `process` needs to use this network."""
 
     @abc.abstractmethod
     def listeners(self, process: str) -> ListenerFactory:
-        """Return the servers of `process`."""
+        """Return the factory of the servers of `process`."""
 
     @abc.abstractmethod
     def transport(self, process: str) -> HttpTransport:
@@ -67,20 +67,22 @@
 
 @dataclass(kw_only=True)
 class ProcessFaults:
-    """What is wrong with one process, or with the network around it.
+    """Faults of one process and of the network around it.
 
     Parameters
     ----------
     lost_replies : int
-        For so many exchanges with this process as the server: it does what is
-        asked, and the reply is lost.
+        Number of requests to this process that it will carry out without the reply
+        reaching the sender.
     lost_requests : int
-        For so many exchanges: the request never arrives, and nobody is told.
+        Number of requests to this process that will be dropped without an error.
     late_requests : int
-        For so many exchanges: the request arrives after `REQUEST_DELAY_S`, when its
-        sender has long given it up.
+        Number of requests to this process that will arrive after `REQUEST_DELAY_S`,
+        long after their sender has timed out.
+    running : trio.Event
+        Set unless the process is paused.
     link : AccessLink
-        Carries what the process is answered.
+        Carries the replies that the process receives.
     """
 
     lost_replies: int = 0
@@ -93,17 +95,17 @@
         self.running.set()
 
     def pause(self) -> None:
-        """Freeze the process: it hears, says and does nothing."""
+        """Freeze the process: it receives, sends and executes nothing."""
         if self.running.is_set():
             self.running = trio.Event()
 
     def resume(self) -> None:
-        """Let it go on where it stood."""
+        """Continue a paused process where it was frozen."""
         self.running.set()
 
 
 class _PausableClock(Clock):
-    """A process's clock: time goes on while it is paused, its sleeps do not end."""
+    """Clock of a process; during a pause, time passes but sleeps do not end."""
 
     def __init__(self, faults: ProcessFaults) -> None:
         self._faults = faults
@@ -121,7 +123,19 @@
 
 
 class MemoryFabric(Fabric):
-    """Messages by function call, in virtual time, with faults between processes."""
+    """Network in memory that delivers messages by function calls and injects faults.
+
+    Attributes
+    ----------
+    faults_by_process : dict
+        Faults by name of the process.
+    cut : set of frozenset of str
+        Pairs of processes whose messages are dropped.
+    silent : set of _Link
+        Connections on which nothing arrives and no error is reported.
+    listener_by_address : dict
+        Servers that accept messages.
+    """
 
     def __init__(self) -> None:
         self.faults_by_process: dict[str, ProcessFaults] = {}
@@ -138,7 +152,7 @@
         return kernel
 
     def register_parts(self, kernel: Kernel, process: str) -> None:
-        """Register what every process has but its way of calling peers."""
+        """Register everything that `process` needs except its peer client."""
         kernel.register(CLOCK, _PausableClock(self.faults(process)))
         kernel.register(TRANSPORT, self.transport(process))
         kernel.register(RANDOM, Random(process))
@@ -151,18 +165,18 @@
         return _MemoryTransport(self, process)
 
     def faults(self, process: str) -> ProcessFaults:
-        """Return the switches of `process`."""
+        """Return the faults of `process`, to be changed by the caller."""
         return self.faults_by_process.setdefault(process, ProcessFaults())
 
     def free_address(self) -> Address:
-        """Return an address that was never used."""
+        """Return an address that has not been used before."""
         return Address(host="127.0.0.1", port=next(self._ports))
 
     def silence_links(self, senders: str) -> None:
-        """Make open connections silent whose opener's name begins with `senders`.
+        """Make open connections silent whose opener's name starts with `senders`.
 
-        Something between the two ends has lost track of them: nothing arrives
-        and nothing errors. New connections work.
+        This models a device between the two ends that has lost the state of the
+        connections: nothing arrives, and no error is reported. New connections work.
         """
         for (sender, _), link in self._link_by_ends.items():
             if sender.startswith(senders):
@@ -176,10 +190,9 @@
         timeout: timedelta,
         on_begun: OnBegun | None = None,
     ) -> Any:
-        """Carry `message` to `address` and its reply back, over one connection.
+        """Send `message` to `address` over one connection and return the reply.
 
-        As with the real clients, a connection is kept until an exchange on it
-        has failed.
+        As in the real clients, a connection is reused until an exchange on it fails.
         """
         link = self._link_by_ends.setdefault((sender, address), _Link())
         try:
@@ -207,7 +220,7 @@
             raise CommunicationError(
                 step=Step.CONNECT,
                 peer=str(address),
-                detail="nobody listens",
+                detail="no listener at this address",
                 is_refused=True,
             )
         pending = _Pending()
@@ -233,17 +246,17 @@
 
 
 def _size(reply: Any) -> int:
-    """Return what a reply weighs on a link; one that is no bytes weighs nothing."""
+    """Return the bytes that a reply takes on a link; peer replies count as 0."""
     return len(reply.body) if isinstance(reply, HttpResponse) else 0
 
 
 class _Link:
-    """One open connection, known by its identity."""
+    """An open connection; two are equal only if they are the same object."""
 
 
 @dataclass(kw_only=True)
 class _Pending:
-    """An exchange whose reply has not come yet."""
+    """An exchange that waits for its reply."""
 
     done: trio.Event = field(default_factory=trio.Event)
     reply: Any = None
@@ -287,7 +300,7 @@
             await trio.sleep(_LATENCY_S)
 
     def accept(self, message: Any, pending: _Pending) -> None:
-        """Begin to serve `message`."""
+        """Start to serve `message`."""
         assert self._nursery is not None
         self._nursery.start_soon(self._answer, message, pending)
 
--- a/standins/links.py
+++ b/standins/links.py
@@ -1,4 +1,4 @@
-"""What comes to a process over its network link in a second."""
+"""Access link of a process, with a limited bandwidth."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 __all__ = ["AccessLink"]
 
-# What travels at once of an answer; answers on one link take turns after it.
+# Concurrent answers on one link take turns after each chunk of this size.
 _CHUNK_BYTES = 1500
 
 
 @dataclass(kw_only=True)
 class AccessLink:
-    """Carries answers to one process, at any rate if none is set.
+    """Carries answers to one process.
 
     Parameters
     ----------
     bytes_per_s : float, optional
-        What it carries.
+        Bandwidth; unlimited if None.
     received_bytes : int
-        What has come, also of answers that were given up on their way.
+        Bytes received, including those of answers whose transfer was abandoned.
     """
 
     bytes_per_s: float | None = None
@@ -31,7 +31,7 @@
     _lock: trio.Lock = field(default_factory=trio.Lock)
 
     async def receive(self, size: int, limit: trio.CancelScope) -> None:
-        """Let `size` bytes come in; `limit` is extended as they do."""
+        """Receive `size` bytes, extending the timeout `limit` after each chunk."""
         while size > 0:
             chunk = min(size, _CHUNK_BYTES)
             if self.bytes_per_s is not None:
