--- a/standins/cell.py
+++ b/standins/cell.py
@@ -1,4 +1,4 @@
-"""A whole deployment in one process: stand-ins and real daemons on loopback."""
+"""A whole deployment in one process: real daemons that use stand-ins."""
 
 from __future__ import annotations
 
@@ -40,17 +40,23 @@
 
 @dataclass(kw_only=True)
 class ProcessHandle:
-    """Something that runs in the cell and can be killed."""
+    """A daemon or stand-in that runs in the cell as a process of its own would."""
 
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
     def kill(self) -> None:
-        """End it at once, as a crash would: nothing more is said or finished."""
+        """End it at once, as a crash does: it sends and finishes nothing more."""
         self.scope.cancel()
 
 
 class Cell:
-    """Starts a deployment's stand-ins and daemons inside `nursery`."""
+    """Starts a deployment's stand-ins and daemons in `nursery`.
+
+    Parameters
+    ----------
+    table_start_delay_s : float
+        Time in seconds for which the table is down when the daemons start.
+    """
 
     def __init__(
         self,
@@ -80,7 +86,7 @@
         self._table_address = _FREE_PORT
 
     async def start(self, extra_customers: Iterable[str] = ()) -> None:
-        """Start everything, and return once all attendants are in place."""
+        """Start everything, and return once every entry knows all attendants."""
         self._table_address = await self._serve(self.table.handle, "table")
         await self._write_lists(extra_customers)
         if self._table_start_delay_s:
@@ -99,21 +105,21 @@
         self.table.faults.is_down = False
 
     def live_entries(self) -> list[EntryDaemon]:
-        """Return the entries a balancer would still use."""
+        """Return the entries that a load balancer would still use."""
         return [e for e in self.entry_by_name.values() if not e.is_draining]
 
     def kill(self, name: str) -> None:
-        """Kill what runs as `name`."""
+        """Kill the process `name`."""
         self.process_by_name[name].kill()
         self.entry_by_name.pop(name, None)
 
     def lose_worker(self, name: str) -> None:
-        """Lose a worker's VM: its tasks and its attendant."""
+        """Kill a worker's VM, with its tasks and its attendant."""
         self.kill(name)
         self.kill(f"{name}/vm")
 
     async def start_entry(self, name: str, seeds: Sequence[Address] = ()) -> None:
-        """Start one entry, telling it of the entries at `seeds`."""
+        """Start an entry that joins through the entries at `seeds`."""
         index = len(self.entry_by_name)
         daemon = EntryDaemon(
             settings=EntrySettings(
@@ -155,7 +161,7 @@
         await self.start_attendant(name)
 
     async def start_attendant(self, name: str) -> None:
-        """Start an attendant, or start it anew after it was killed."""
+        """Start an attendant, or restart one that was killed."""
         settings = self._settings_by_name[name]
         kernel = self.fabric.kernel(name)
         daemon: UpstreamDaemon | WorkerDaemon
@@ -185,7 +191,7 @@
         await self.start_attendant(name)
 
     async def replace_worker(self, name: str) -> None:
-        """Put a new VM in the place of a lost one."""
+        """Replace a lost VM by a new one, with a new attendant."""
         address = await self.start_vm(name)
         settings = self._settings_by_name[name]
         changed = settings.model_copy(update={"control": address})
@@ -278,7 +284,7 @@
 
 
 async def _run_in_scope(stand_in: WorkerStandIn, scope: trio.CancelScope) -> None:
-    # A scope is entered once, and that one is the server's.
+    # A scope can be entered only once, and the server has already entered this one.
     with trio.CancelScope() as own_scope:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(stand_in.run)
--- a/standins/job_cell.py
+++ b/standins/job_cell.py
@@ -1,4 +1,4 @@
-"""A deployment for jobs in one process: stand-ins and real daemons in memory."""
+"""A deployment for jobs in one process: real daemons that use stand-ins."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass(kw_only=True)
 class JobCell:
-    """Starts entries, attendants and workers inside `nursery`."""
+    """Starts entries, attendants and workers in `nursery`, over a network in memory."""
 
     fabric: MemoryFabric
     nursery: trio.Nursery
@@ -53,7 +53,7 @@
         self._settings_by_name: dict[str, JobEntrySettings | JobAttendantSettings] = {}
 
     async def start(self) -> None:
-        """Start everything."""
+        """Start the stand-ins and the daemons."""
         await self._serve("store", self._table, self.metadata_table.handle)
         await self._serve("adviser", self._advice_address, self.advice.handle)
         self.write_config()
@@ -75,12 +75,12 @@
             await self._start_worker(f"worker-{number}")
 
     def write_config(self, unused_routes: int = 0, **changes: object) -> None:
-        """Write a new version of the config, as the operator does.
+        """Write a new version of the config, as an operator does.
 
         Parameters
         ----------
         more_routes : int
-            Routes that nobody uses, beside the one in use.
+            Number of routes to add that no request uses.
         """
         route = {
             "name": "r-rebuild",
@@ -101,7 +101,7 @@
         self.metadata_table.put("op", "", "config", config)
 
     def callers(self, entry: str) -> Address:
-        """Return where an entry takes jobs."""
+        """Return the address at which an entry accepts jobs."""
         settings = self._settings_by_name[entry]
         assert isinstance(settings, JobEntrySettings)
         address = settings.callers
@@ -109,17 +109,17 @@
         return address
 
     def scheduler(self) -> str:
-        """Return the name of the entry that holds the lease row, empty for none."""
+        """Return the entry that holds the scheduler's lease row, or an empty string."""
         row = self.metadata_table.value_of("state", "scheduler", "lease")
         return str(row["holder"]) if isinstance(row, dict) else ""
 
     def kill(self, name: str) -> None:
-        """End a process at once, as a crash would."""
+        """End a process at once, as a crash does."""
         self.scope_by_name[name].cancel()
         self.killed.add(name)
 
     async def start_daemon(self, name: str) -> None:
-        """Start a daemon, or start it anew."""
+        """Start or restart a daemon."""
         self.killed.discard(name)
         settings = self._settings_by_name[name]
         daemon: JobDaemon
@@ -142,7 +142,7 @@
 
     def _kernel(self, name: str) -> Kernel:
         kernel = Kernel()
-        # Peers speak HTTP here, over the same faulty exchanges as everything else.
+        # Peer calls use HTTP too, so that the faults of the network apply to them.
         kernel.register(PEERS, HttpPeerClient(transport=self.fabric.transport(name)))
         self.fabric.register_parts(kernel, name)
         return kernel
