--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,4 +1,4 @@
-"""Switches that make a stand-in fail on purpose."""
+"""Faults that tests and traces inject into the stand-in of a store."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 @dataclass(kw_only=True)
 class Faults:
-    """What goes wrong at the moment.
+    """Faults in force at the moment.
 
     Parameters
     ----------
     is_down : bool
-        Answer every call with status 503, doing nothing.
+        Every call is answered with status 503 and has no effect.
     delay_s : float
-        Wait this long before doing anything.
+        Delay in seconds before a call has any effect.
     lost_answers : int
-        For so many writes: take effect, and then never answer.
+        Number of writes that will take effect and get no answer.
     """
 
     is_down: bool = False
@@ -28,13 +28,13 @@
     lost_answers: int = 0
 
     async def before_call(self) -> bool:
-        """Wait out the delay; return whether the call may go on."""
+        """Wait for the delay and return whether the call can proceed."""
         if self.delay_s:
             await trio.sleep(self.delay_s)
         return not self.is_down
 
     async def after_write(self) -> None:
-        """Swallow the answer if one is to be lost."""
+        """Block for ever if the answer is to be lost."""
         if self.lost_answers > 0:
             self.lost_answers -= 1
             await trio.sleep_forever()
--- a/standins/metadata_table.py
+++ b/standins/metadata_table.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store, in memory, with its faults."""
+"""In-memory metadata table of the platform, with faults."""
 
 from __future__ import annotations
 
@@ -54,15 +54,23 @@
 
 @dataclass(kw_only=True)
 class MetadataTableStandIn:
-    """Rows, one counter of versions, and the changes so far.
+    """Rows with versions from one counter, and the history of their changes.
 
     Parameters
     ----------
     late_writes : int
-        For so many transactions: no answer, and carried out seconds later if the
-        conditions still hold.
+        Number of transactions that will get no answer and be applied only after
+        `WRITE_DELAY_S`, if their conditions still hold.
     failed_reads_by_table : dict
-        For so many readings of a table: it is unavailable.
+        By table, the number of reads that will fail as unavailable.
+    version : int
+        Version of the latest change.
+    current_by_ref : dict
+        Latest change of each row that exists.
+    changes : list
+        History of changes, oldest first, for the feed.
+    dropped_up_to : int
+        Version of the latest change that was dropped from the history.
     """
 
     faults: Faults = field(default_factory=Faults)
@@ -78,25 +86,25 @@
         self._changed = trio.Event()
 
     def put(self, table: str, part: str, key: str, value: object) -> None:
-        """Write a row as the operator does."""
+        """Write a row with `value`, as an operator does."""
         text = base64.b64encode(msgspec.json.encode(value)).decode()
         self.version += 1
         self._record_change(_Ref(table, part, key), text, is_deleted=False)
 
     def value_of(self, table: str, part: str, key: str) -> object:
-        """Return a row's decoded value, none if there is no such row."""
+        """Return a row's decoded value, or None if there is no such row."""
         change = self.current_by_ref.get(_Ref(table, part, key))
         if change is None:
             return None
         return msgspec.json.decode(base64.b64decode(change.value))
 
     def drop_history(self) -> None:
-        """Forget every change so far; the rows stay."""
+        """Drop all changes from the history; the rows stay."""
         self.dropped_up_to = self.version
         self.changes.clear()
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Serve the store's interface."""
+        """Serve the table's HTTP interface."""
         self.calls += 1
         if not await self.faults.before_call():
             return HttpResponse(status=503)
--- a/standins/table.py
+++ b/standins/table.py
@@ -1,4 +1,4 @@
-"""The platform's table service and object store, in memory."""
+"""In-memory table service and object store of the platform."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class TableStandIn:
-    """Conditional multi-row transactions, and objects by name."""
+    """Stores rows by conditional multi-row transactions, and objects by name."""
 
     def __init__(self) -> None:
         self.faults = Faults()
@@ -25,7 +25,7 @@
         self.reads = 0
         self.bytes_in = 0
         self.bytes_out = 0
-        # A row's versions go on after its deletion, so none is ever reused.
+        # Versions continue after a row is deleted, so that none is ever reused.
         self._last_version_by_key: dict[str, int] = {}
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
