--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,3 +1,3 @@
-"""Small stand-ins for the platform and the users' services, for tests and demo."""
+"""Stand-ins for the platform and the users' services, for tests and the demo."""
 
 from __future__ import annotations
--- a/standins/advice.py
+++ b/standins/advice.py
@@ -1,4 +1,4 @@
-"""The platform's service that knows which workers a queue's policy allows."""
+"""Service of the platform that advises which workers a queue's policy allows."""
 
 from __future__ import annotations
 
@@ -19,14 +19,18 @@
 
 @dataclass(kw_only=True)
 class AdviceStandIn:
-    """Allows some workers, and remembers the tickets that it gave.
+    """Allows some workers and records the tickets that it issues.
 
     Parameters
     ----------
     allowed : set of str
         Ids of the workers that it allows.
     hopeless : set of str
-        Ids of the jobs that it allows no worker to run.
+        Ids of the jobs that it allows on no worker.
+    expiry_by_ticket : dict
+        Time at which each issued ticket expires, in seconds.
+    request_count : int
+        Requests answered, without those rejected as concurrent.
     """
 
     allowed_workers: set[str] = field(default_factory=set)
@@ -36,7 +40,7 @@
     is_busy: bool = False
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one question; a second one at a time is turned away."""
+        """Answer a request; a concurrent one is rejected with status 429."""
         if self.is_busy:
             return HttpResponse(status=429)
         self.is_busy = True
@@ -60,7 +64,7 @@
         return HttpResponse.of_json(answer)
 
     def is_valid(self, ticket: str, step: str, worker: str) -> bool:
-        """Whether a start with `ticket` may go on."""
+        """Return whether `ticket` allows a task of `step` to start on `worker` now."""
         expiry = self.expiry_by_ticket.get(ticket, 0.0)
         matches = ticket.startswith(f"{step}@{worker}#")
         return matches and expiry > trio.current_time()
--- a/standins/observer.py
+++ b/standins/observer.py
@@ -1,4 +1,4 @@
-"""What upstreams and workers really saw: the judge of lost and doubled work."""
+"""Record of what upstreams and workers executed, to detect lost and doubled work."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(kw_only=True)
 class Observer:
-    """Counts executions by id, as the back ends see them."""
+    """Counts executions by id, as seen by the stand-ins that execute them."""
 
     runs_by_request: Counter[str] = field(default_factory=Counter)
     runs_by_instance: Counter[str] = field(default_factory=Counter)
@@ -26,9 +26,9 @@
     overcommitted: int = 0
 
     def begin_request(self, request: str, *, is_idempotent: bool) -> None:
-        """Note that an upstream starts to run `request`.
+        """Record that an upstream starts to run `request`.
 
-        An idempotent one may run again later, but never in two places at once.
+        An idempotent request may run again later, but never twice at the same time.
         """
         self.runs_by_request[request] += 1
         self.running_by_request[request] += 1
@@ -37,11 +37,11 @@
             self.doubled.add(request)
 
     def end_request(self, request: str) -> None:
-        """Note that the run has ended."""
+        """Record that a run of `request` has ended."""
         self.running_by_request[request] -= 1
 
     def begin_task(self, task: str, attempt: int, *, is_resumed: bool) -> None:
-        """Note that a worker runs `task` from now on."""
+        """Record that a worker starts or resumes `task`."""
         self.running_by_task[task] += 1
         self.starts_by_attempt[f"{task}#{attempt}"] += not is_resumed
         is_repeated = self.starts_by_attempt[f"{task}#{attempt}"] > 1
@@ -49,26 +49,26 @@
             self.doubled.add(task)
 
     def end_task(self, task: str) -> None:
-        """Note that a worker runs `task` no more."""
+        """Record that a worker no longer runs `task`."""
         self.running_by_task[task] -= 1
 
     def record_start(self, task: str, done_s: float) -> None:
-        """Note from how far on an attempt starts."""
+        """Record the progress, in seconds, from which an attempt starts."""
         self.done_s_at_starts_by_task[task].append(done_s)
 
     def finish_task(self, task: str) -> None:
-        """Note that `task` has come to its good end."""
+        """Record that `task` has succeeded."""
         self.finishes_by_task[task] += 1
         if self.finishes_by_task[task] - self.lost_results_by_task[task] > 1:
             self.doubled.add(task)
 
     def lose_result(self, task: str) -> None:
-        """Note that a VM vanished with an end that nobody may have heard of.
+        """Record that a success of `task` was lost, perhaps before anyone knew of it.
 
-        Such a task rightly runs again, so a second end is no double.
+        Such a task has to run again, so a second success is not counted as doubled.
         """
         self.lost_results_by_task[task] += 1
 
     def record_allocation(self, *, is_overcommitted: bool) -> None:
-        """Note what a worker is committed to after a start."""
+        """Record whether a start has overcommitted its worker."""
         self.overcommitted += is_overcommitted
--- a/standins/serve.py
+++ b/standins/serve.py
@@ -1,4 +1,4 @@
-"""Stand-ins as processes of their own: `python -m standins.serve KIND PORT`."""
+"""Run a stand-in as a process: `python -m standins.serve KIND PORT`."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Serve until killed."""
+    """Serve the stand-in named in `arguments` until killed."""
     kind, port = arguments
     if kind not in ("table", "upstream", "worker"):
         raise SystemExit(f"kind: got {kind!r}, expected table, upstream or worker")
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -1,4 +1,4 @@
-"""An upstream service instance."""
+"""Instance of an upstream service."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class UpstreamStandIn:
-    """Answers each request after its `x-service-ms`, echoing its id and body."""
+    """Answers each request after `x-service-ms` with the request's id and body."""
 
     def __init__(self, *, observer: Observer, name: str = "") -> None:
         self._observer = observer
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -1,4 +1,4 @@
-"""A worker and the platform's hold on it."""
+"""Worker that runs batch tasks, with the platform's interface to control it."""
 
 from __future__ import annotations
 
@@ -31,9 +31,17 @@
 
 
 class WorkerStandIn:
-    """Runs attempts while its lease is renewed.
+    """Runs attempts of tasks while its lease is valid.
 
-    A task's payload may hold `real_runtime_s` and `outcome` ("fails").
+    A task's payload may hold `real_runtime_s`, its actual runtime, and `outcome`,
+    where "fails" makes the attempt fail at its end.
+
+    Parameters
+    ----------
+    boot : str
+        Id of the VM's boot, which changes with every restart.
+    objects : dict
+        Contents of the object store by name, for checkpoints and results.
     """
 
     def __init__(
@@ -55,7 +63,7 @@
         self._holder = ""
 
     async def run(self) -> None:
-        """Let tasks advance; cancel this to lose the worker with all it runs."""
+        """Advance the attempts; cancelling this loses the worker with all attempts."""
         try:
             while True:
                 await trio.sleep(_TICK_S)
@@ -67,7 +75,7 @@
                 self._lose_result(attempt)
 
     def restart(self) -> None:
-        """Crash and be back at once, empty and with no lease."""
+        """Crash and come back at once, without attempts and without a lease."""
         for attempt in self._list_attempts():
             self._suspend(attempt)
             self._lose_result(attempt)
@@ -169,10 +177,10 @@
             self._observer.finish_task(attempt.start.task)
 
     def _lose_result(self, attempt: _Attempt) -> None:
-        """Tell the observer of an end that nobody could hear of in time.
+        """Report to the observer a success that other processes may not know of.
 
-        That is one whose lease has lapsed, or whose VM has vanished, before it
-        was acknowledged, and that could not be stored either.
+        Its lease lapsed, or its VM was lost, before the success was acknowledged, and
+        its result is not in the object store either.
         """
         is_stored = result_name(attempt.start.task, attempt.start.attempt) in (
             self._objects
