--- a/standins/make_trace.py
+++ b/standins/make_trace.py
@@ -1,4 +1,4 @@
-"""Writing the shipped traces anew from a seed."""
+"""Generate the shipped example traces from fixed seeds."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def make_demo_traces(folder: Path) -> None:
-    """Write a trace for each user into `folder`."""
+    """Write one trace per example user into `folder`."""
     _write(folder / "tregarth.jsonl", _tregarth(Random(1)))
     _write(folder / "ubuntu-image-labs.jsonl", _ubuntu_image_labs(Random(2)))
 
@@ -89,7 +89,7 @@
 def _retries(
     events: list[dict[str, object]], random: Random, kind: str
 ) -> list[dict[str, object]]:
-    """Return callers' own retries of a tenth of the requests of `kind`."""
+    """Return retries by the callers for a tenth of the requests of `kind`."""
     originals = [event for event in events if event.get("kind") == kind]
     retries = []
     for event in random.sample(originals, len(originals) // 10):
--- a/standins/player.py
+++ b/standins/player.py
@@ -1,4 +1,4 @@
-"""Playing a trace against a cell, as callers, customers and operators would."""
+"""Play a trace against a cell, in the roles of callers, customers and operators."""
 
 from __future__ import annotations
 
@@ -39,14 +39,14 @@
 
 
 class Player:
-    """Plays events at their times and counts what came back.
+    """Plays the events of a trace at their times and counts the outcomes.
 
     Parameters
     ----------
     say : callable
-        Takes a line of progress.
+        Called with each line of progress.
     settle_s : float
-        How long to wait, after the last event, for the tasks to end.
+        Time in seconds to wait for the tasks to end after the last event.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         self._false_refusals = 0
 
     async def play(self, events: Sequence[Event]) -> Report:
-        """Play `events` and return what they came to."""
+        """Play `events` and return the report on them."""
         started_at = trio.current_time()
         async with trio.open_nursery() as nursery:
             for event in events:
@@ -132,7 +132,7 @@
     ) -> None:
         expected = f"answer to {event.customer}/{key}: "
         if not response.body.startswith(expected.encode()):
-            self._report_progress(f"request {event.id}: somebody else's answer")
+            self._report_progress(f"request {event.id}: got another request's answer")
             self._cell.observer.doubled.add(event.id)
 
     async def _submit_task(self, event: TaskEvent) -> None:
@@ -206,7 +206,7 @@
     async def _send_until_certain(
         self, method: str, target: str, customer: str, body: bytes
     ) -> HttpResponse | None:
-        """Send again, as the answer says, until the outcome is certain."""
+        """Send a request until its outcome is certain, or `_MAX_ATTEMPTS` times."""
         request = HttpRequest(
             method=method,
             target=target,
@@ -226,7 +226,7 @@
         return response
 
     def _next_entry(self) -> Address:
-        """Return the entry whose turn it is at the balancer."""
+        """Return the next entry's address, round robin as a load balancer does."""
         entries = self._cell.live_entries()
         entry = entries[next(self._entry_counter) % len(entries)]
         return entry.describe().http
@@ -267,7 +267,7 @@
         )
 
     def _find_lost(self, rows: dict[str, TaskRow]) -> list[str]:
-        """Return accepted tasks that did not come to the end they should."""
+        """Return accepted tasks that are not final, or finished without a success."""
         lost = []
         for task in sorted(self._accepted):
             row = rows.get(task)
--- a/standins/report.py
+++ b/standins/report.py
@@ -1,4 +1,4 @@
-"""What a played trace came to."""
+"""Summary of a played trace."""
 
 from __future__ import annotations
 
@@ -16,14 +16,15 @@
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True):
-    """The summary; the last line of a demo is this in JSON.
+    """Summary of a played trace; the demo prints it in JSON as its last line.
 
     Parameters
     ----------
     false_refusals : int
-        Requests refused as not run that an upstream did run.
+        Requests that were refused as not run although an upstream ran them.
     lost, doubled, overcommitted : int
-        As counted by the stand-ins, never by the daemons.
+        Accepted tasks without a proper end, requests and tasks that ran twice, and
+        starts beyond a worker's capacity. The stand-ins count them, not the daemons.
     """
 
     trace: str
--- a/standins/session.py
+++ b/standins/session.py
@@ -1,4 +1,4 @@
-"""Playing traces on deployments, one after the other."""
+"""Play traces one after the other, each on its own deployment."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Session:
-    """A trace and the deployment it is played on."""
+    """A trace and the deployment on which it is played."""
 
     name: str
     deployment: Deployment
@@ -29,7 +29,7 @@
 async def play_sessions(
     sessions: Sequence[Session], seed: int, report_progress: Callable[[str], None]
 ) -> list[Report]:
-    """Play each session in a deployment of its own."""
+    """Play each session and return the reports in the same order."""
     return [await _play_session(session, seed, report_progress) for session in sessions]
 
 
@@ -63,12 +63,13 @@
         }
         unlisted = customers - set(session.deployment.plans)
         report_progress(
-            f"{session.name}: starting {session.deployment.entries} entries and more"
+            f"{session.name}: starting {session.deployment.entries} entries and the "
+            "other daemons"
         )
         if unlisted:
             plan = session.deployment.default_plan
             report_progress(
-                f"not in the lists, given the plan {plan!r}: {sorted(unlisted)}"
+                f"customers not in the lists get the plan {plan!r}: {sorted(unlisted)}"
             )
         await cell.start(extra_customers=unlisted)
         report_progress(f"{session.name}: playing {len(session.events)} events")
--- a/standins/trace.py
+++ b/standins/trace.py
@@ -1,4 +1,4 @@
-"""Recorded traces: one JSON object a line, checked before anything starts."""
+"""Traces in JSON Lines, which are checked completely before anything starts."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class FaultKind(enum.Enum):
-    """Faults that a trace may order."""
+    """Faults that a trace can inject."""
 
     STORE_DOWN = "store-down"
     STORE_SLOW = "store-slow"
@@ -42,7 +42,7 @@
 
 
 class _Event(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What every event has: its time in seconds from the start."""
+    """Base of all events; `at` is in seconds from the start of the trace."""
 
     at: float
 
@@ -56,8 +56,10 @@
 
     Parameters
     ----------
+    service_ms : float
+        Time that the upstream takes to answer.
     retry_of : str, optional
-        The id of the request that this one repeats, key and all.
+        Id of the request that this one retries with the same idempotency key.
     """
 
     customer: str
@@ -70,7 +72,15 @@
 
 
 class TaskEvent(_Event, frozen=True, kw_only=True, tag="task", tag_field="event"):
-    """A batch task. `outcome` may be "fails"."""
+    """A batch task.
+
+    Parameters
+    ----------
+    real_memory_gb, real_runtime_s : float, optional
+        Actual values, where they differ from the declared ones.
+    outcome : str
+        "fails" makes the task fail at its end.
+    """
 
     customer: str
     kind: str
@@ -99,7 +109,15 @@
 
 
 class FaultEvent(_Event, frozen=True, kw_only=True, tag="fault", tag_field="event"):
-    """A fault; `target` is a daemon's or worker's name, `for_s` how long."""
+    """A fault.
+
+    Parameters
+    ----------
+    target : str
+        Name of the daemon or worker.
+    for_s : float
+        Duration in seconds of a fault that ends by itself.
+    """
 
     what: FaultKind
     target: str = ""
@@ -111,7 +129,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class TraceError:
-    """A line that was refused."""
+    """A line that was rejected, and why."""
 
     line: int
     message: str
@@ -121,7 +139,7 @@
 
 
 def load_trace(path: Path) -> Result[Sequence[Event], list[TraceError]]:
-    """Return the events of `path` by time, or every bad line."""
+    """Return the events in `path` ordered by time, or the errors of all bad lines."""
     try:
         lines = path.read_bytes().splitlines()
     except OSError as error:
@@ -144,7 +162,7 @@
 
 
 def _hint(message: str) -> str:
-    """Return what would be accepted, where the library does not say so."""
+    """Return the accepted values where msgspec's message does not list them."""
     if "$.event" in message:
         return f"; expected one of {_EVENTS}, and link is not built yet"
     if "$.what" in message:
@@ -154,7 +172,7 @@
 
 
 def _find_bad_references(event_by_line: dict[int, Event]) -> list[TraceError]:
-    """Return events that name a request or task that no line defines."""
+    """Return an error for each event that names an undefined request or task."""
     events = event_by_line.values()
     requests = {event.id for event in events if isinstance(event, RequestEvent)}
     tasks = {event.id for event in events if isinstance(event, TaskEvent)}
--- a/tests/standins/trace.feature
+++ b/tests/standins/trace.feature
@@ -1,7 +1,8 @@
 Feature: A bad trace is refused by line and field before anything starts
 
-  Scenario: Events that are not built, a wrong type and an unknown id
-    # A trace skipped in part would seem to have been played well.
+  Scenario: Unsupported events, a wrong type and an unknown id
+    # Guards against bad lines that are skipped silently, so that a trace that was played
+    # in part seems to have been played in full.
     Given a trace with these lines
       """
       {"at": 1, "event": "link", "customer": "x", "kind": "feed", "id": "l1"}
