--- a/standins/advice.py
+++ b/standins/advice.py
@@ -23,9 +23,9 @@
 
     Parameters
     ----------
-    allowed : set of str
+    allowed_workers : set of str
         Ids of the workers that it allows.
-    hopeless : set of str
+    denied_jobs : set of str
         Ids of the jobs that it allows on no worker.
     expiry_by_ticket : dict
         Time at which each issued ticket expires, in seconds.
--- a/standins/job_cell.py
+++ b/standins/job_cell.py
@@ -79,7 +79,7 @@
 
         Parameters
         ----------
-        more_routes : int
+        unused_routes : int
             Number of routes to add that no request uses.
         """
         route = {
--- a/standins/observer.py
+++ b/standins/observer.py
@@ -10,7 +10,17 @@
 
 @dataclass(kw_only=True)
 class Observer:
-    """Counts executions by id, as seen by the stand-ins that execute them."""
+    """Counts executions by id, as seen by the stand-ins that execute them.
+
+    Parameters
+    ----------
+    done_s_at_starts_by_task : dict
+        Progress in seconds from which each attempt of a task started.
+    doubled : set of str
+        Ids of the requests and tasks that ran more often than they may.
+    overcommitted : int
+        Number of starts that overcommitted their worker.
+    """
 
     runs_by_request: Counter[str] = field(default_factory=Counter)
     runs_by_instance: Counter[str] = field(default_factory=Counter)
--- a/standins/player.py
+++ b/standins/player.py
@@ -43,9 +43,9 @@
 
     Parameters
     ----------
-    say : callable
+    report_progress : callable
         Called with each line of progress.
-    settle_s : float
+    completion_timeout_s : float
         Time in seconds to wait for the tasks to end after the last event.
     """
 
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -179,8 +179,8 @@
     def _lose_result(self, attempt: _Attempt) -> None:
         """Report to the observer a success that other processes may not know of.
 
-        Its lease lapsed, or its VM was lost, before the success was acknowledged, and
-        its result is not in the object store either.
+        The lease lapsed, or the VM was lost, before the success was acknowledged, and
+        the result is not in the object store either.
         """
         is_stored = result_name(attempt.start.task, attempt.start.attempt) in (
             self._objects
