--- a/properties/jobs.py
+++ b/properties/jobs.py
@@ -175,11 +175,11 @@
         """A worker loses all that runs there and comes back empty."""
         self.world.cell.worker_by_name[worker].crash()
 
-    @rule(worker=WORKERS, is_dark=st.booleans())
-    def darken(self, worker: str, is_dark: bool) -> None:
+    @rule(worker=WORKERS, is_unreachable=st.booleans())
+    def darken(self, worker: str, is_unreachable: bool) -> None:
         """A worker runs on and answers nobody, or answers again."""
-        is_mute = is_dark or self.losses.is_mute(worker)
-        self.world.cell.worker_by_name[worker].is_dark = is_mute
+        is_mute = is_unreachable or self.losses.is_mute(worker)
+        self.world.cell.worker_by_name[worker].is_unreachable = is_mute
 
     @rule(worker=WORKERS, count=st.integers(min_value=1, max_value=3))
     def delay_starts(self, worker: str, count: int) -> None:
@@ -194,22 +194,22 @@
     @rule(is_down=st.booleans())
     def store(self, is_down: bool) -> None:
         """The store goes down or comes back."""
-        self.world.cell.rows.faults.is_down = is_down
+        self.world.cell.metadata_table.faults.is_down = is_down
 
     @rule(count=st.sampled_from([1, 2, 8]))
     def lose_write_answers(self, count: int) -> None:
         """Writes take effect, and their answers are lost."""
-        self.world.cell.rows.faults.lost_answers = count
+        self.world.cell.metadata_table.faults.lost_answers = count
 
     @rule()
     def delay_write(self) -> None:
         """A write is carried out seconds later, if its conditions still hold."""
-        self.world.cell.rows.late_writes = 1
+        self.world.cell.metadata_table.late_writes = 1
 
     @rule()
     def drop_history(self) -> None:
         """The store forgets what changed."""
-        self.world.cell.rows.drop_history()
+        self.world.cell.metadata_table.drop_history()
 
     @rule(
         worker=WORKERS,
@@ -257,13 +257,13 @@
         cell = self.world.cell
         assert not cell.observer.violations, cell.observer.violations
         for worker in cell.worker_by_name.values():
-            assert worker.max_taken <= cell.processors, worker.name
+            assert worker.max_concurrent_runs <= cell.processors, worker.name
         self._note_completed()
 
     def _note_completed(self) -> None:
         """Note what the store says of jobs, long before it is forgotten there."""
         for label in self._accepted - self._completed:
-            row = self.world.cell.rows.value_of(
+            row = self.world.cell.metadata_table.value_of(
                 "state", "scheduler", f"job.{job_id(label)}"
             )
             if isinstance(row, dict) and row.get("state") == "completed":
--- a/standins/advice.py
+++ b/standins/advice.py
@@ -1,4 +1,4 @@
-"""The platform's service that knows which workers a queue's policy allows."""
+"""Service of the platform that advises which workers a queue's policy allows."""
 
 from __future__ import annotations
 
@@ -19,24 +19,28 @@
 
 @dataclass(kw_only=True)
 class AdviceStandIn:
-    """Allows some workers, and remembers the tickets that it gave.
+    """Allows some workers and records the tickets that it issues.
 
     Parameters
     ----------
-    allowed : set of str
+    allowed_workers : set of str
         Ids of the workers that it allows.
-    hopeless : set of str
-        Ids of the jobs that it allows no worker to run.
+    denied_jobs : set of str
+        Ids of the jobs that it allows on no worker.
+    expiry_by_ticket : dict
+        Time at which each issued ticket expires, in seconds.
+    request_count : int
+        Requests answered, without those rejected as concurrent.
     """
 
-    allowed: set[str] = field(default_factory=set)
-    hopeless: set[str] = field(default_factory=set)
+    allowed_workers: set[str] = field(default_factory=set)
+    denied_jobs: set[str] = field(default_factory=set)
     expiry_by_ticket: dict[str, float] = field(default_factory=dict)
-    questions: int = 0
+    request_count: int = 0
     is_busy: bool = False
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one question; a second one at a time is turned away."""
+        """Answer a request; a concurrent one is rejected with status 429."""
         if self.is_busy:
             return HttpResponse(status=429)
         self.is_busy = True
@@ -46,21 +50,21 @@
             self.is_busy = False
 
     async def _answer(self, body: dict[str, Any]) -> HttpResponse:
-        self.questions += 1
+        self.request_count += 1
         job = body["step"].split(".")[0]
         await trio.sleep(_DECISION_S + _PER_WORKER_S * len(body["workers"]))
         rows = []
         for worker in body["workers"]:
-            if worker not in self.allowed or job in self.hopeless:
+            if worker not in self.allowed_workers or job in self.denied_jobs:
                 continue
-            ticket = f"{body['step']}@{worker}#{self.questions}"
+            ticket = f"{body['step']}@{worker}#{self.request_count}"
             self.expiry_by_ticket[ticket] = trio.current_time() + VALIDITY_S
             rows.append([worker, ticket])
         answer = {"allowed": rows, "validityMs": VALIDITY_S * 1000}
         return HttpResponse.of_json(answer)
 
     def is_valid(self, ticket: str, step: str, worker: str) -> bool:
-        """Whether a start with `ticket` may go on."""
+        """Return whether `ticket` allows a task of `step` to start on `worker` now."""
         expiry = self.expiry_by_ticket.get(ticket, 0.0)
-        named = ticket.startswith(f"{step}@{worker}#")
-        return named and expiry > trio.current_time()
+        matches = ticket.startswith(f"{step}@{worker}#")
+        return matches and expiry > trio.current_time()
--- a/standins/cell.py
+++ b/standins/cell.py
@@ -1,4 +1,4 @@
-"""A whole deployment in one process: stand-ins and real daemons on loopback."""
+"""A whole deployment in one process: real daemons that use stand-ins."""
 
 from __future__ import annotations
 
@@ -33,24 +33,30 @@
 from standins.upstream import UpstreamStandIn
 from standins.worker import WorkerStandIn
 
-__all__ = ["Cell", "Running"]
+__all__ = ["Cell", "ProcessHandle"]
 
 _FREE_PORT = Address(host="127.0.0.1", port=0)
 
 
 @dataclass(kw_only=True)
-class Running:
-    """Something that runs in the cell and can be killed."""
+class ProcessHandle:
+    """A daemon or stand-in that runs in the cell as a process of its own would."""
 
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
     def kill(self) -> None:
-        """End it at once, as a crash would: nothing more is said or finished."""
+        """End it at once, as a crash does: it sends and finishes nothing more."""
         self.scope.cancel()
 
 
 class Cell:
-    """Starts a deployment's stand-ins and daemons inside `nursery`."""
+    """Starts a deployment's stand-ins and daemons in `nursery`.
+
+    Parameters
+    ----------
+    table_start_delay_s : float
+        Time in seconds for which the table is down when the daemons start.
+    """
 
     def __init__(
         self,
@@ -60,12 +66,12 @@
         fabric: Fabric,
         routing: str = "two-choices",
         placement: str = "tightest-fit",
-        table_late_s: float = 0.0,
+        table_start_delay_s: float = 0.0,
     ) -> None:
         self.deployment = deployment
         self._routing = routing
         self._placement = placement
-        self._table_late_s = table_late_s
+        self._table_start_delay_s = table_start_delay_s
         self.fabric = fabric
         self.observer = Observer()
         self.table = TableStandIn()
@@ -73,19 +79,19 @@
         self.upstream_by_name: dict[str, UpstreamDaemon] = {}
         self.worker_by_name: dict[str, WorkerDaemon] = {}
         self.worker_stand_in_by_name: dict[str, WorkerStandIn] = {}
-        self.running_by_name: dict[str, Running] = {}
+        self.process_by_name: dict[str, ProcessHandle] = {}
         self._settings_by_name: dict[str, UpstreamSettings | WorkerSettings] = {}
         self._boots = itertools.count(1)
         self._nursery = nursery
         self._table_address = _FREE_PORT
 
     async def start(self, extra_customers: Iterable[str] = ()) -> None:
-        """Start everything, and return once all attendants are in place."""
+        """Start everything, and return once every entry knows all attendants."""
         self._table_address = await self._serve(self.table.handle, "table")
         await self._write_lists(extra_customers)
-        if self._table_late_s:
+        if self._table_start_delay_s:
             self.table.faults.is_down = True
-            self._nursery.start_soon(self._bring_table_up)
+            self._nursery.start_soon(self._end_table_outage)
         for number in range(1, self.deployment.entries + 1):
             await self.start_entry(f"entry-{number}")
         for number in range(1, self.deployment.service.instances + 1):
@@ -94,26 +100,26 @@
             await self._start_worker(number)
         await self._wait_until_known()
 
-    async def _bring_table_up(self) -> None:
-        await trio.sleep(self._table_late_s)
+    async def _end_table_outage(self) -> None:
+        await trio.sleep(self._table_start_delay_s)
         self.table.faults.is_down = False
 
     def live_entries(self) -> list[EntryDaemon]:
-        """Return the entries a balancer would still use."""
+        """Return the entries that a load balancer would still use."""
         return [e for e in self.entry_by_name.values() if not e.is_draining]
 
     def kill(self, name: str) -> None:
-        """Kill what runs as `name`."""
-        self.running_by_name[name].kill()
+        """Kill the process `name`."""
+        self.process_by_name[name].kill()
         self.entry_by_name.pop(name, None)
 
     def lose_worker(self, name: str) -> None:
-        """Lose a worker's VM: its tasks and its attendant."""
+        """Kill a worker's VM, with its tasks and its attendant."""
         self.kill(name)
         self.kill(f"{name}/vm")
 
     async def start_entry(self, name: str, seeds: Sequence[Address] = ()) -> None:
-        """Start one entry, telling it of the entries at `seeds`."""
+        """Start an entry that joins through the entries at `seeds`."""
         index = len(self.entry_by_name)
         daemon = EntryDaemon(
             settings=EntrySettings(
@@ -155,7 +161,7 @@
         await self.start_attendant(name)
 
     async def start_attendant(self, name: str) -> None:
-        """Start an attendant, or start it anew after it was killed."""
+        """Start an attendant, or restart one that was killed."""
         settings = self._settings_by_name[name]
         kernel = self.fabric.kernel(name)
         daemon: UpstreamDaemon | WorkerDaemon
@@ -185,7 +191,7 @@
         await self.start_attendant(name)
 
     async def replace_worker(self, name: str) -> None:
-        """Put a new VM in the place of a lost one."""
+        """Replace a lost VM by a new one, with a new attendant."""
         address = await self.start_vm(name)
         settings = self._settings_by_name[name]
         changed = settings.model_copy(update={"control": address})
@@ -194,19 +200,19 @@
 
     async def start_vm(self, name: str) -> Address:
         """Start a worker's stand-in and return its address."""
-        shape = self.deployment.workers
+        pool = self.deployment.workers
         stand_in = WorkerStandIn(
             capacity=Resources(
-                processors=shape.processors,
-                memory_gb=shape.memory_gb,
-                accelerators=shape.accelerators,
+                processors=pool.processors,
+                memory_gb=pool.memory_gb,
+                accelerators=pool.accelerators,
             ),
             boot=f"boot-{next(self._boots)}",
             observer=self.observer,
             objects=self.table.object_by_name,
         )
         address = await self._serve(stand_in.handle, f"{name}/vm")
-        scope = self.running_by_name[f"{name}/vm"].scope
+        scope = self.process_by_name[f"{name}/vm"].scope
         self._nursery.start_soon(_run_in_scope, stand_in, scope)
         self.worker_stand_in_by_name[name] = stand_in
         return address
@@ -216,15 +222,15 @@
         return names[number % len(names)]
 
     async def _run_daemon(self, daemon: Daemon) -> None:
-        running = Running()
-        self.running_by_name[daemon.settings.name] = running
-        await self._nursery.start(_run_daemon, daemon, running.scope)
+        process = ProcessHandle()
+        self.process_by_name[daemon.settings.name] = process
+        await self._nursery.start(_run_daemon, daemon, process.scope)
 
     async def _serve(self, handler: Handler, name: str) -> Address:
         server = self.fabric.listeners(name).http(_FREE_PORT, handler)
-        running = Running()
-        self.running_by_name[name] = running
-        await self._nursery.start(_run_daemon, server, running.scope)
+        process = ProcessHandle()
+        self.process_by_name[name] = process
+        await self._nursery.start(_run_daemon, server, process.scope)
         return server.bound
 
     async def _write_lists(self, extra_customers: Iterable[str]) -> None:
@@ -236,7 +242,8 @@
         plans = {name: deployment.default_plan for name in extra_customers}
         plans.update(deployment.plans)
         allowances = {
-            name: line.model_dump() for name, line in deployment.allowances.items()
+            name: allowance.model_dump()
+            for name, allowance in deployment.allowances.items()
         }
         for version, name, change in (
             (0, ListName.ALLOWANCES, allowances),
@@ -277,10 +284,10 @@
 
 
 async def _run_in_scope(stand_in: WorkerStandIn, scope: trio.CancelScope) -> None:
-    # A scope is entered once, and that one is the server's.
-    with trio.CancelScope() as own:
+    # A scope can be entered only once, and the server has already entered this one.
+    with trio.CancelScope() as own_scope:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(stand_in.run)
             while not scope.cancel_called:
                 await trio.sleep(0.02)
-            own.cancel()
+            own_scope.cancel()
--- a/standins/job_cell.py
+++ b/standins/job_cell.py
@@ -1,4 +1,4 @@
-"""A deployment for jobs in one process: stand-ins and real daemons in memory."""
+"""A deployment for jobs in one process: real daemons that use stand-ins."""
 
 from __future__ import annotations
 
@@ -18,32 +18,32 @@
 from coltsfoottray.types import Address
 from standins.advice import AdviceStandIn
 from standins.fabric import MemoryFabric
-from standins.instance import InstanceStandIn, RunObserver
-from standins.rows import RowsStandIn
+from standins.job_worker import JobWorkerStandIn, RunObserver
+from standins.metadata_table import MetadataTableStandIn
 
-__all__ = ["HOST", "PREFIX", "JobCell"]
+__all__ = ["HOST", "PATH_PREFIX", "JobCell"]
 
 HOST = "jobs.example"
-PREFIX = "/rebuild/"
+PATH_PREFIX = "/rebuild/"
 
 
 @dataclass(kw_only=True)
 class JobCell:
-    """Starts entries, attendants and workers inside `nursery`."""
+    """Starts entries, attendants and workers in `nursery`, over a network in memory."""
 
     fabric: MemoryFabric
     nursery: trio.Nursery
     entries: int
     workers: int
     processors: int = 8
-    rows: RowsStandIn = field(default_factory=RowsStandIn)
+    metadata_table: MetadataTableStandIn = field(default_factory=MetadataTableStandIn)
     advice: AdviceStandIn = field(default_factory=AdviceStandIn)
     observer: RunObserver = field(default_factory=RunObserver)
     entry_by_name: dict[str, JobEntryDaemon] = field(default_factory=dict)
     attendant_by_name: dict[str, JobAttendantDaemon] = field(default_factory=dict)
-    worker_by_name: dict[str, InstanceStandIn] = field(default_factory=dict)
+    worker_by_name: dict[str, JobWorkerStandIn] = field(default_factory=dict)
     scope_by_name: dict[str, trio.CancelScope] = field(default_factory=dict)
-    dead: set[str] = field(default_factory=set)
+    killed: set[str] = field(default_factory=set)
 
     def __post_init__(self) -> None:
         self._table = self.fabric.free_address()
@@ -53,8 +53,8 @@
         self._settings_by_name: dict[str, JobEntrySettings | JobAttendantSettings] = {}
 
     async def start(self) -> None:
-        """Start everything."""
-        await self._serve("store", self._table, self.rows.handle)
+        """Start the stand-ins and the daemons."""
+        await self._serve("store", self._table, self.metadata_table.handle)
         await self._serve("adviser", self._advice_address, self.advice.handle)
         self.write_config()
         for number in range(1, self.entries + 1):
@@ -74,18 +74,18 @@
         for number in range(1, self.workers + 1):
             await self._start_worker(f"worker-{number}")
 
-    def write_config(self, more_routes: int = 0, **changes: object) -> None:
-        """Write a new version of the config, as the operator does.
+    def write_config(self, unused_routes: int = 0, **changes: object) -> None:
+        """Write a new version of the config, as an operator does.
 
         Parameters
         ----------
-        more_routes : int
-            Routes that nobody uses, beside the one in use.
+        unused_routes : int
+            Number of routes to add that no request uses.
         """
         route = {
             "name": "r-rebuild",
             "host": HOST,
-            "pathPrefix": PREFIX,
+            "pathPrefix": PATH_PREFIX,
             "service": "svc",
             "priority": 1,
             "maxAttempts": 2,
@@ -94,14 +94,14 @@
         }
         unused = [
             {**route, "name": f"r-unused-{n}", "pathPrefix": f"/unused-{n}/"}
-            for n in range(more_routes)
+            for n in range(unused_routes)
         ]
         routes = [route, *unused]
         config = {"version": next(self._versions), "routes": routes, "services": []}
-        self.rows.put("op", "", "config", config)
+        self.metadata_table.put("op", "", "config", config)
 
     def callers(self, entry: str) -> Address:
-        """Return where an entry takes jobs."""
+        """Return the address at which an entry accepts jobs."""
         settings = self._settings_by_name[entry]
         assert isinstance(settings, JobEntrySettings)
         address = settings.callers
@@ -109,18 +109,18 @@
         return address
 
     def scheduler(self) -> str:
-        """Return the name of the entry that holds the lease row, empty for none."""
-        row = self.rows.value_of("state", "scheduler", "lease")
+        """Return the entry that holds the scheduler's lease row, or an empty string."""
+        row = self.metadata_table.value_of("state", "scheduler", "lease")
         return str(row["holder"]) if isinstance(row, dict) else ""
 
     def kill(self, name: str) -> None:
-        """End a process at once, as a crash would."""
+        """End a process at once, as a crash does."""
         self.scope_by_name[name].cancel()
-        self.dead.add(name)
+        self.killed.add(name)
 
     async def start_daemon(self, name: str) -> None:
-        """Start a daemon, or start it anew."""
-        self.dead.discard(name)
+        """Start or restart a daemon."""
+        self.killed.discard(name)
         settings = self._settings_by_name[name]
         daemon: JobDaemon
         if isinstance(settings, JobEntrySettings):
@@ -142,7 +142,7 @@
 
     def _kernel(self, name: str) -> Kernel:
         kernel = Kernel()
-        # Peers speak HTTP here, over the same faulty exchanges as everything else.
+        # Peer calls use HTTP too, so that the faults of the network apply to them.
         kernel.register(PEERS, HttpPeerClient(transport=self.fabric.transport(name)))
         self.fabric.register_parts(kernel, name)
         return kernel
@@ -150,7 +150,7 @@
     async def _start_worker(self, name: str) -> None:
         address = self.fabric.free_address()
         heartbeats = self.fabric.free_address()
-        worker = InstanceStandIn(
+        worker = JobWorkerStandIn(
             name=name,
             address=address,
             attendant=heartbeats,
--- a/standins/rows.py
+++ b/standins/metadata_table.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store, in memory, with its faults."""
+"""In-memory metadata table of the platform, with faults."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from coltsfoottray.http import HttpRequest, HttpResponse
 from standins.faults import Faults
 
-__all__ = ["RowsStandIn"]
+__all__ = ["MetadataTableStandIn"]
 
-LATE_WRITE_S = 3.0
+WRITE_DELAY_S = 3.0
 
 
 class _Ref(msgspec.Struct, frozen=True):
@@ -53,16 +53,24 @@
 
 
 @dataclass(kw_only=True)
-class RowsStandIn:
-    """Rows, one counter of versions, and the changes so far.
+class MetadataTableStandIn:
+    """Rows with versions from one counter, and the history of their changes.
 
     Parameters
     ----------
     late_writes : int
-        For so many transactions: no answer, and carried out seconds later if the
-        conditions still hold.
+        Number of transactions that will get no answer and be applied only after
+        `WRITE_DELAY_S`, if their conditions still hold.
     failed_reads_by_table : dict
-        For so many readings of a table: it is unavailable.
+        By table, the number of reads that will fail as unavailable.
+    version : int
+        Version of the latest change.
+    current_by_ref : dict
+        Latest change of each row that exists.
+    changes : list
+        History of changes, oldest first, for the feed.
+    dropped_up_to : int
+        Version of the latest change that was dropped from the history.
     """
 
     faults: Faults = field(default_factory=Faults)
@@ -78,27 +86,27 @@
         self._changed = trio.Event()
 
     def put(self, table: str, part: str, key: str, value: object) -> None:
-        """Write a row as the operator does."""
+        """Write a row with `value`, as an operator does."""
         text = base64.b64encode(msgspec.json.encode(value)).decode()
         self.version += 1
-        self._note(_Ref(table, part, key), text, is_deleted=False)
+        self._record_change(_Ref(table, part, key), text, is_deleted=False)
 
     def value_of(self, table: str, part: str, key: str) -> object:
-        """Return a row's decoded value, none if there is no such row."""
+        """Return a row's decoded value, or None if there is no such row."""
         change = self.current_by_ref.get(_Ref(table, part, key))
         if change is None:
             return None
         return msgspec.json.decode(base64.b64decode(change.value))
 
     def drop_history(self) -> None:
-        """Forget every change so far; the rows stay."""
+        """Drop all changes from the history; the rows stay."""
         self.dropped_up_to = self.version
         self.changes.clear()
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Serve the store's interface."""
+        """Serve the table's HTTP interface."""
         self.calls += 1
-        if not await self.faults.before():
+        if not await self.faults.before_call():
             return HttpResponse(status=503)
         if request.path == "/v1/rows-tx":
             return await self._transact(msgspec.json.decode(request.body, type=_Tx))
@@ -112,13 +120,13 @@
         return HttpResponse(status=404)
 
     async def _transact(self, tx: _Tx) -> HttpResponse:
-        entries = [*tx.expectedRevision, *tx.upserts, *tx.remove]
-        is_valid = len(entries) <= 100 and len({each.part for each in entries}) == 1
+        items = [*tx.expectedRevision, *tx.upserts, *tx.remove]
+        is_valid = len(items) <= 100 and len({item.part for item in items}) == 1
         if not is_valid:
             return HttpResponse(status=400)
         if self.late_writes > 0:
             self.late_writes -= 1
-            await trio.sleep(LATE_WRITE_S)
+            await trio.sleep(WRITE_DELAY_S)
             self._apply(tx)
             await trio.sleep_forever()
         response = self._apply(tx)
@@ -126,27 +134,27 @@
         return response
 
     def _apply(self, tx: _Tx) -> HttpResponse:
-        broken = [
-            each.ref
-            for each in tx.expectedRevision
-            if self._version_of(each.ref) != each.schemaVersion
+        conflicts = [
+            item.ref
+            for item in tx.expectedRevision
+            if self._version_of(item.ref) != item.schemaVersion
         ]
-        if broken:
-            found = [self.current_by_ref.get(ref) for ref in broken]
-            rows = [_as_row(change) for change in found if change is not None]
-            return self._answer({"rows": rows}, status=412)
+        if conflicts:
+            found = [self.current_by_ref.get(ref) for ref in conflicts]
+            rows = [_encode_row(change) for change in found if change is not None]
+            return self._make_response({"rows": rows}, status=412)
         self.version += 1
         for upsert in tx.upserts:
-            self._note(upsert.ref, upsert.value, is_deleted=False)
-        for gone in tx.remove:
-            self._note(gone.ref, "", is_deleted=True)
-        return self._answer({})
+            self._record_change(upsert.ref, upsert.value, is_deleted=False)
+        for removal in tx.remove:
+            self._record_change(removal.ref, "", is_deleted=True)
+        return self._make_response({})
 
     def _version_of(self, ref: _Ref) -> int:
         change = self.current_by_ref.get(ref)
         return 0 if change is None else change.version
 
-    def _note(self, ref: _Ref, value: str, *, is_deleted: bool) -> None:
+    def _record_change(self, ref: _Ref, value: str, *, is_deleted: bool) -> None:
         change = _Change(
             ref=ref, version=self.version, value=value, is_deleted=is_deleted
         )
@@ -168,30 +176,34 @@
             and ref.key >= query.get("from", "")
         ]
         found.sort(key=lambda change: change.ref.key)
-        rows = [_as_row(change) for change in found[:limit]]
-        return self._answer({"rows": rows, "hasMore": len(found) > limit})
+        rows = [_encode_row(change) for change in found[:limit]]
+        return self._make_response({"rows": rows, "hasMore": len(found) > limit})
 
     async def _feed(self, query: dict[str, str]) -> HttpResponse:
         after = int(query["after"])
         with trio.move_on_after(int(query["waitMs"]) / 1000):
-            while not self._since(query["table"], after):
+            while not self._changes_since(query["table"], after):
                 if after < self.dropped_up_to:
                     break
                 await self._changed.wait()
         if after < self.dropped_up_to:
             return HttpResponse(status=410)
-        rows = [_as_row(change) for change in self._since(query["table"], after)]
-        return self._answer({"rows": rows})
+        rows = [
+            _encode_row(change) for change in self._changes_since(query["table"], after)
+        ]
+        return self._make_response({"rows": rows})
 
-    def _since(self, table: str, after: int) -> list[_Change]:
+    def _changes_since(self, table: str, after: int) -> list[_Change]:
         return [c for c in self.changes if c.ref.table == table and c.version > after]
 
-    def _answer(self, body: dict[str, object], status: int = 200) -> HttpResponse:
+    def _make_response(
+        self, body: dict[str, object], status: int = 200
+    ) -> HttpResponse:
         complete = {"schemaVersion": self.version, "nowMs": 0, **body}
         return HttpResponse.of_json(complete, status=status)
 
 
-def _as_row(change: _Change) -> dict[str, object]:
+def _encode_row(change: _Change) -> dict[str, object]:
     row: dict[str, object] = {
         "table": change.ref.table,
         "part": change.ref.part,
--- a/standins/report.py
+++ b/standins/report.py
@@ -1,13 +1,13 @@
-"""What a played trace came to."""
+"""Summary of a played trace."""
 
 from __future__ import annotations
 
 import msgspec
 
-__all__ = ["LatencyLine", "Report"]
+__all__ = ["LatencySummary", "Report"]
 
 
-class LatencyLine(msgspec.Struct, frozen=True, kw_only=True):
+class LatencySummary(msgspec.Struct, frozen=True, kw_only=True):
     """Latencies of the answered requests of one kind, in milliseconds."""
 
     count: int
@@ -16,14 +16,15 @@
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True):
-    """The summary; the last line of a demo is this in JSON.
+    """Summary of a played trace; the demo prints it in JSON as its last line.
 
     Parameters
     ----------
     false_refusals : int
-        Requests refused as not run that an upstream did run.
+        Requests that were refused as not run although an upstream ran them.
     lost, doubled, overcommitted : int
-        As counted by the stand-ins, never by the daemons.
+        Accepted tasks without a proper end, requests and tasks that ran twice, and
+        starts beyond a worker's capacity. The stand-ins count them, not the daemons.
     """
 
     trace: str
@@ -38,7 +39,7 @@
     doubled: int
     overcommitted: int
     false_refusals: int
-    latency_ms: dict[str, LatencyLine]
+    latency_ms: dict[str, LatencySummary]
 
     @property
     def is_clean(self) -> bool:
--- a/standins/table.py
+++ b/standins/table.py
@@ -1,4 +1,4 @@
-"""The platform's table service and object store, in memory."""
+"""In-memory table service and object store of the platform."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class TableStandIn:
-    """Conditional multi-row transactions, and objects by name."""
+    """Stores rows by conditional multi-row transactions, and objects by name."""
 
     def __init__(self) -> None:
         self.faults = Faults()
@@ -25,12 +25,12 @@
         self.reads = 0
         self.bytes_in = 0
         self.bytes_out = 0
-        # A row's versions go on after its deletion, so none is ever reused.
+        # Versions continue after a row is deleted, so that none is ever reused.
         self._last_version_by_key: dict[str, int] = {}
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
         """Serve the table's HTTP interface."""
-        if not await self.faults.before():
+        if not await self.faults.before_call():
             return HttpResponse(status=503)
         response = await self._serve(request)
         self.bytes_in += len(request.body) + len(request.target)
@@ -45,16 +45,16 @@
             return response
         if request.path == "/rows":
             self.reads += 1
-            return HttpResponse.of_json(self._rows(request.query))
+            return HttpResponse.of_json(self._read_rows(request.query))
         if request.path.startswith("/objects/"):
-            return self._object(request)
+            return self._handle_object(request)
         return HttpResponse(status=404)
 
     def _commit(self, transaction: Transaction) -> HttpResponse:
         conditions: list[Check | Put] = [*transaction.checks, *transaction.puts]
-        broken = [c.key for c in conditions if self._version(c.key) != c.version]
-        if broken:
-            rows = [self.row_by_key[key] for key in broken if key in self.row_by_key]
+        conflicts = [c.key for c in conditions if self._version(c.key) != c.version]
+        if conflicts:
+            rows = [self.row_by_key[key] for key in conflicts if key in self.row_by_key]
             return HttpResponse.of_json(TableConflict(rows=rows), status=409)
         self.commits += 1
         self.rows_written += len(transaction.puts)
@@ -75,7 +75,7 @@
             self.row_by_key[put.key] = Row(key=put.key, value=value, version=version)
         return version
 
-    def _rows(self, query: dict[str, str]) -> list[Row]:
+    def _read_rows(self, query: dict[str, str]) -> list[Row]:
         if "key" in query:
             row = self.row_by_key.get(query["key"])
             return [] if row is None else [row]
@@ -86,7 +86,7 @@
             if key.startswith(prefix)
         ]
 
-    def _object(self, request: HttpRequest) -> HttpResponse:
+    def _handle_object(self, request: HttpRequest) -> HttpResponse:
         name = unquote(request.path.removeprefix("/objects/"))
         if request.method == "PUT":
             self.object_by_name[name] = request.body
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -1,4 +1,4 @@
-"""A worker and the platform's hold on it."""
+"""Worker that runs batch tasks, with the platform's interface to control it."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 __all__ = ["WorkerStandIn"]
 
-_STEP_S = 0.05
-FAILED_EXIT = 1
+_TICK_S = 0.05
+FAILED_EXIT_CODE = 1
 
 
 @dataclass(kw_only=True)
@@ -26,14 +26,22 @@
     done_s: float = 0.0
     exit_code: int | None = None
     is_running: bool = False
-    has_begun: bool = False
+    has_started: bool = False
     is_result_lost: bool = False
 
 
 class WorkerStandIn:
-    """Runs attempts while its lease is renewed.
+    """Runs attempts of tasks while its lease is valid.
 
-    A task's payload may hold `real_runtime_s` and `outcome` ("fails").
+    A task's payload may hold `real_runtime_s`, its actual runtime, and `outcome`,
+    where "fails" makes the attempt fail at its end.
+
+    Parameters
+    ----------
+    boot : str
+        Id of the VM's boot, which changes with every restart.
+    objects : dict
+        Contents of the object store by name, for checkpoints and results.
     """
 
     def __init__(
@@ -51,14 +59,14 @@
         self._objects = objects
         self._attempt_by_task: dict[TaskId, _Attempt] = {}
         self._stopped: set[str] = set()
-        self._lease_until = trio.current_time()
+        self._lease_expires_at = trio.current_time()
         self._holder = ""
 
     async def run(self) -> None:
-        """Let tasks advance; cancel this to lose the worker with all it runs."""
+        """Advance the attempts; cancelling this loses the worker with all attempts."""
         try:
             while True:
-                await trio.sleep(_STEP_S)
+                await trio.sleep(_TICK_S)
                 for attempt in self._attempt_by_task.values():
                     self._advance(attempt)
         finally:
@@ -66,14 +74,14 @@
                 self._suspend(attempt)
                 self._lose_result(attempt)
 
-    def start_anew(self) -> None:
-        """Crash and be back at once, empty and with no lease."""
-        for attempt in self._attempts():
+    def restart(self) -> None:
+        """Crash and come back at once, without attempts and without a lease."""
+        for attempt in self._list_attempts():
             self._suspend(attempt)
             self._lose_result(attempt)
         self._attempt_by_task.clear()
         self._stopped.clear()
-        self._lease_until = trio.current_time()
+        self._lease_expires_at = trio.current_time()
         self._holder = ""
         self.boot += "-anew"
 
@@ -86,23 +94,25 @@
         if request.path == "/renew":
             return self._renew(request.query)
         if request.path == "/tasks":
-            return HttpResponse.of_json([self._as_report(a) for a in self._attempts()])
-        _, _, task, attempt, verb = request.path.split("/")
-        return self._act(verb, TaskId(unquote(task)), int(attempt), request)
+            return HttpResponse.of_json(
+                [self._make_report(a) for a in self._list_attempts()]
+            )
+        _, _, task, attempt, action = request.path.split("/")
+        return self._handle_action(action, TaskId(unquote(task)), int(attempt), request)
 
-    def _act(
-        self, verb: str, task: TaskId, attempt: int, request: HttpRequest
+    def _handle_action(
+        self, action: str, task: TaskId, attempt: int, request: HttpRequest
     ) -> HttpResponse:
         held = self._attempt_by_task.get(task)
         is_held = held is not None and held.start.attempt == attempt
-        if verb == "start":
+        if action == "start":
             return self._start(request.decode(TaskStart))
-        if verb == "stop":
+        if action == "stop":
             self._stopped.add(f"{task}#{attempt}")
-        if held is not None and is_held and verb in ("stop", "forget"):
+        if held is not None and is_held and action in ("stop", "forget"):
             self._suspend(held)
             del self._attempt_by_task[task]
-        if held is not None and is_held and verb == "checkpoint":
+        if held is not None and is_held and action == "checkpoint":
             name = request.query["name"]
             self._objects[name] = msgspec.json.encode(held.done_s)
         return HttpResponse.of_json(True)
@@ -119,21 +129,25 @@
             self._attempt_by_task[start.task] = _Attempt(
                 start=start, done_s=msgspec.json.decode(done, type=float)
             )
-            self._observer.note_start(
+            self._observer.record_start(
                 start.task, self._attempt_by_task[start.task].done_s
             )
-            total = Resources.total([a.start.demand for a in self._unfinished()])
-            self._observer.note_commitment(is_over=not total.fits_in(self.capacity))
-            self._advance(self._attempt_by_task[start.task], step_s=0.0)
+            total = Resources.total(
+                [a.start.demand for a in self._unfinished_attempts()]
+            )
+            self._observer.record_allocation(
+                is_overcommitted=not total.fits_in(self.capacity)
+            )
+            self._advance(self._attempt_by_task[start.task], elapsed_s=0.0)
         return HttpResponse.of_json(True)
 
     def _renew(self, query: dict[str, str]) -> HttpResponse:
         self._holder = query["holder"]
-        self._lease_until = trio.current_time() + float(query["seconds"])
+        self._lease_expires_at = trio.current_time() + float(query["seconds"])
         return HttpResponse.of_json(True)
 
-    def _advance(self, attempt: _Attempt, step_s: float = _STEP_S) -> None:
-        has_lapsed = trio.current_time() >= self._lease_until
+    def _advance(self, attempt: _Attempt, elapsed_s: float = _TICK_S) -> None:
+        has_lapsed = trio.current_time() >= self._lease_expires_at
         if attempt.exit_code is not None:
             if has_lapsed:
                 self._lose_result(attempt)
@@ -146,10 +160,10 @@
             self._observer.begin_task(
                 attempt.start.task,
                 attempt.start.attempt,
-                is_resumed=attempt.has_begun,
+                is_resumed=attempt.has_started,
             )
-            attempt.has_begun = True
-        attempt.done_s += step_s
+            attempt.has_started = True
+        attempt.done_s += elapsed_s
         payload = attempt.start.payload
         runtime = payload.get("real_runtime_s", attempt.start.runtime_s)
         assert isinstance(runtime, int | float)
@@ -158,15 +172,15 @@
 
     def _end(self, attempt: _Attempt, *, fails: bool) -> None:
         self._suspend(attempt)
-        attempt.exit_code = FAILED_EXIT if fails or self.fails_everything else 0
+        attempt.exit_code = FAILED_EXIT_CODE if fails or self.fails_everything else 0
         if attempt.exit_code == 0:
             self._observer.finish_task(attempt.start.task)
 
     def _lose_result(self, attempt: _Attempt) -> None:
-        """Tell the observer of an end that nobody could hear of in time.
+        """Report to the observer a success that other processes may not know of.
 
-        That is one whose lease has lapsed, or whose VM has vanished, before it
-        was acknowledged, and that could not be stored either.
+        The lease lapsed, or the VM was lost, before the success was acknowledged, and
+        the result is not in the object store either.
         """
         is_stored = result_name(attempt.start.task, attempt.start.attempt) in (
             self._objects
@@ -180,13 +194,13 @@
             attempt.is_running = False
             self._observer.end_task(attempt.start.task)
 
-    def _attempts(self) -> list[_Attempt]:
+    def _list_attempts(self) -> list[_Attempt]:
         return list(self._attempt_by_task.values())
 
-    def _unfinished(self) -> list[_Attempt]:
-        return [a for a in self._attempts() if a.exit_code is None]
+    def _unfinished_attempts(self) -> list[_Attempt]:
+        return [a for a in self._list_attempts() if a.exit_code is None]
 
-    def _as_report(self, attempt: _Attempt) -> RunningTask:
+    def _make_report(self, attempt: _Attempt) -> RunningTask:
         return RunningTask(
             task=attempt.start.task,
             attempt=attempt.start.attempt,
--- a/tests/steps/job_fault_steps.py
+++ b/tests/steps/job_fault_steps.py
@@ -10,7 +10,7 @@
 
 @step("{seconds:d} s pass with the store up again")
 def recover_store(context, seconds):
-    context.world.cell.rows.faults.is_down = False
+    context.world.cell.metadata_table.faults.is_down = False
     context.world.advance(seconds)
 
 
@@ -72,13 +72,15 @@
 )
 def lose_power_unevenly(context, milliseconds, name):
     world = context.world
-    before = world.cell.rows.value_of("state", "scheduler", "lease")
+    before = world.cell.metadata_table.value_of("state", "scheduler", "lease")
     lose_all_power(world)
     restart_worker(world, name)
     for entry in world.cell.entry_by_name:
         world.restart_daemon(entry)
     world.wait_until(
-        lambda: world.cell.rows.value_of("state", "scheduler", "lease") != before
+        lambda: (
+            world.cell.metadata_table.value_of("state", "scheduler", "lease") != before
+        )
     )
     world.advance(milliseconds / 1000)
     for each in world.cell.worker_by_name:
@@ -96,7 +98,7 @@
 
 def restart_worker(world, name):
     world.restart_daemon(name)
-    world.run(world.cell.worker_by_name[name].report)
+    world.run(world.cell.worker_by_name[name].send_heartbeat)
 
 
 @when("{name} is killed and started anew after {seconds:d} s")
@@ -110,9 +112,9 @@
 def end_after_poll(context, name):
     world = context.world
     worker = world.cell.worker_by_name[name]
-    before = worker.looks
+    before = worker.poll_count
     # The first poll is answered at once, the second blocks until a run ends.
-    world.wait_until(lambda: worker.looks == before + 2, step_s=0.001)
+    world.wait_until(lambda: worker.poll_count == before + 2, step_s=0.001)
     worker.finish_all()
 
 
@@ -120,9 +122,9 @@
 def lose_store_at_poll(context, name):
     world = context.world
     worker = world.cell.worker_by_name[name]
-    before = worker.looks
-    world.wait_until(lambda: worker.looks > before, step_s=0.001)
-    world.cell.rows.faults.is_down = True
+    before = worker.poll_count
+    world.wait_until(lambda: worker.poll_count > before, step_s=0.001)
+    world.cell.metadata_table.faults.is_down = True
 
 
 @when("what runs on {name} ends")
@@ -145,7 +147,7 @@
     before = attendant.session
     entry = world.cell.scheduler()
     world.spawn(world.cell.entry_by_name[entry].shut_down)
-    world.cell.dead.add(entry)
+    world.cell.killed.add(entry)
     world.wait_until(lambda: attendant.session > before, step_s=0.001)
 
 
@@ -170,36 +172,36 @@
 def resume_heartbeats(context, name):
     worker = context.world.cell.worker_by_name[name]
     worker.sends_heartbeats = True
-    context.world.run(worker.report)
+    context.world.run(worker.send_heartbeat)
 
 
 @when("{name}'s machine crashes and reports at once")
 def crash_and_report(context, name):
     worker = context.world.cell.worker_by_name[name]
     worker.crash()
-    context.world.run(worker.report)
+    context.world.run(worker.send_heartbeat)
 
 
 @when("{name}'s machine drains and reports at once")
 def drain_and_report(context, name):
     worker = context.world.cell.worker_by_name[name]
     worker.is_draining = True
-    context.world.run(worker.report)
+    context.world.run(worker.send_heartbeat)
 
 
 @when("{name}'s machine is lost permanently")
-def vanish(context, name):
-    context.world.cell.worker_by_name[name].vanish()
+def destroy(context, name):
+    context.world.cell.worker_by_name[name].destroy()
 
 
 @when("{name}'s machine stops answering")
 def stop_answering(context, name):
-    context.world.cell.worker_by_name[name].is_dark = True
+    context.world.cell.worker_by_name[name].is_unreachable = True
 
 
 @when("{name}'s machine answers again")
 def answer_again(context, name):
-    context.world.cell.worker_by_name[name].is_dark = False
+    context.world.cell.worker_by_name[name].is_unreachable = False
 
 
 @when("messages sent to the scheduler for {seconds:d} s arrive late")
@@ -221,16 +223,16 @@
 
 
 @when("{name}'s machine leaves without a notice")
-def leave(context, name):
+def deregister(context, name):
     worker = context.world.cell.worker_by_name[name]
-    context.world.run(worker.leave)
+    context.world.run(worker.deregister)
     # The worker's process has ended, so the VM refuses connections to it.
     del context.world.fabric.listener_by_address[worker.address]
 
 
 @when("{name} and its machine are lost")
 def lose(context, name):
-    context.world.cell.worker_by_name[name].is_dark = True
+    context.world.cell.worker_by_name[name].is_unreachable = True
     context.world.kill_daemon(name)
 
 
@@ -291,49 +293,51 @@
 
 @given("the answers to the next {count:d} writes of the store are lost")
 def lose_write_answers(context, count):
-    context.world.cell.rows.faults.lost_answers = count
+    context.world.cell.metadata_table.faults.lost_answers = count
 
 
 @step("the next {count:d} writes of the store are carried out late")
 def make_writes_late(context, count):
-    context.world.cell.rows.late_writes = count
+    context.world.cell.metadata_table.late_writes = count
 
 
 @when("the store is down for {seconds:d} s")
 def take_store_down(context, seconds):
-    context.world.cell.rows.faults.is_down = True
+    context.world.cell.metadata_table.faults.is_down = True
     context.world.advance(seconds)
-    context.world.cell.rows.faults.is_down = False
+    context.world.cell.metadata_table.faults.is_down = False
 
 
 @step("the store is down from now on")
 def leave_store_down(context):
-    context.world.cell.rows.faults.is_down = True
+    context.world.cell.metadata_table.faults.is_down = True
 
 
 @when("the next {count:d} reads of the members fail")
 def fail_member_reads(context, count):
-    context.world.cell.rows.failed_reads_by_table["members"] = count
+    context.world.cell.metadata_table.failed_reads_by_table["members"] = count
 
 
 @when("another entry has taken over")
 def wait_for_takeover(context):
-    rows = context.world.cell.rows
-    before = rows.value_of("state", "scheduler", "lease")["epoch"]
+    metadata_table = context.world.cell.metadata_table
+    before = metadata_table.value_of("state", "scheduler", "lease")["epoch"]
     context.world.wait_until(
-        lambda: rows.value_of("state", "scheduler", "lease")["epoch"] != before
+        lambda: (
+            metadata_table.value_of("state", "scheduler", "lease")["epoch"] != before
+        )
     )
 
 
 @when("the store's history is dropped")
 def drop_history(context):
-    context.world.cell.rows.drop_history()
+    context.world.cell.metadata_table.drop_history()
 
 
 @given("the store goes down in {milliseconds:d} ms")
 def plan_outage(context, milliseconds):
     async def go_down():
         await trio.sleep(milliseconds / 1000)
-        context.world.cell.rows.faults.is_down = True
+        context.world.cell.metadata_table.faults.is_down = True
 
     context.world.spawn(go_down)
--- a/tests/steps/job_steps.py
+++ b/tests/steps/job_steps.py
@@ -160,10 +160,10 @@
     "{size:d} bytes at most"
 )
 def check_summary_writes(context, label, count, size):
-    rows = context.world.cell.rows
+    metadata_table = context.world.cell.metadata_table
     written = [
         change
-        for change in rows.changes
+        for change in metadata_table.changes
         if change.ref.table == "state"
         and change.ref.part == "scheduler"
         and change.ref.key.endswith(job_id(label))
@@ -175,7 +175,7 @@
 
 @then("the scheduler has not changed")
 def check_scheduler(context):
-    row = context.world.cell.rows.value_of("state", "scheduler", "lease")
+    row = context.world.cell.metadata_table.value_of("state", "scheduler", "lease")
     assert row["epoch"] == 1, row
 
 
@@ -211,7 +211,7 @@
     running = [
         name
         for name in context.world.cell.entry_by_name
-        if name not in context.world.cell.dead
+        if name not in context.world.cell.killed
     ]
     _wait_for_state(context, running[0], label, state, seconds)
 
@@ -328,7 +328,7 @@
 
 @then('the store holds no row of "{label}"')
 def check_no_rows(context, label):
-    rows = context.world.cell.rows.current_by_ref
+    rows = context.world.cell.metadata_table.current_by_ref
     held = [ref for ref in rows if job_id(label) in ref.key]
     assert not held, held
 
--- a/tests/steps/slow_link_steps.py
+++ b/tests/steps/slow_link_steps.py
@@ -18,7 +18,7 @@
 @when("the operator adds {count:d} routes")
 def add_routes(context, count):
     async def write():
-        context.world.cell.write_config(more_routes=count)
+        context.world.cell.write_config(unused_routes=count)
 
     context.world.fabric.faults("entry-2").link.received_bytes = 0
     context.world.run(write)
@@ -27,7 +27,7 @@
 @then("the config is in force at {name} within {seconds:d} s")
 def wait_for_config(context, name, seconds):
     cell = context.world.cell
-    version = cell.rows.value_of("op", "", "config")["version"]
+    version = cell.metadata_table.value_of("op", "", "config")["version"]
     deadline = context.world.now() + seconds
     while cell.entry_by_name[name].holder.current.version != version:
         assert context.world.now() < deadline, f"not within {seconds} s"
