--- a/coltsfoottray/entry/batch.py
+++ b/coltsfoottray/entry/batch.py
@@ -5,8 +5,8 @@
 import msgspec
 from returns.result import Failure
 
-from coltsfoottray.entry.callers import read_customer
-from coltsfoottray.entry.problems import as_table_problem
+from coltsfoottray.entry.callers import parse_customer
+from coltsfoottray.entry.problems import to_table_problem_response
 from coltsfoottray.errors import InputError
 from coltsfoottray.explain import Journal, Verb
 from coltsfoottray.http import HttpRequest, HttpResponse, Outcome, Problem
@@ -65,7 +65,7 @@
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
         """Answer `POST /tasks`, `GET /tasks/ID` and `DELETE /tasks/ID`."""
-        customer = read_customer(request)
+        customer = parse_customer(request)
         parts = request.path.strip("/").split("/")
         try:
             if request.method == "POST" and len(parts) == 1:
@@ -75,7 +75,7 @@
             if request.method == "DELETE" and len(parts) == 2:
                 return await self._cancel(customer, parts[1])
         except TableUnavailable as error:
-            return as_table_problem(error)
+            return to_table_problem_response(error)
         raise InputError(
             field="request",
             value=f"{request.method} {request.path}",
--- a/coltsfoottray/entry/callers.py
+++ b/coltsfoottray/entry/callers.py
@@ -14,7 +14,7 @@
 from coltsfoottray.requests.dispatcher import CallerRequest, Dispatcher
 from coltsfoottray.types import CustomerId, Kind, RequestId
 
-__all__ = ["CallerApi", "read_customer"]
+__all__ = ["CallerApi", "parse_customer"]
 
 # Of no meaning beyond one connection, or ours alone: a caller must not set them.
 _DROPPED_HEADERS = frozenset(
@@ -38,7 +38,7 @@
 _MAX_KEY_LENGTH = 200
 
 
-def read_customer(request: HttpRequest) -> CustomerId:
+def parse_customer(request: HttpRequest) -> CustomerId:
     """Return who sent `request`."""
     customer = request.header_by_name.get("x-customer", "")
     if not customer or "/" in customer:
@@ -87,7 +87,7 @@
                 value=f"{request.method} {request.path}",
                 expected="POST /requests/KIND",
             )
-        customer = read_customer(request)
+        customer = parse_customer(request)
         return CallerRequest(
             request=RequestId(f"{customer}/{_read_key(request)}"),
             customer=customer,
--- a/coltsfoottray/entry/operators.py
+++ b/coltsfoottray/entry/operators.py
@@ -7,7 +7,7 @@
 
 from coltsfoottray.claims import ClaimMembers
 from coltsfoottray.entry.metrics import LatencyMetrics, LatencySummary
-from coltsfoottray.entry.problems import as_table_problem
+from coltsfoottray.entry.problems import to_table_problem_response
 from coltsfoottray.errors import InputError
 from coltsfoottray.explain import Journal
 from coltsfoottray.http import HttpRequest, HttpResponse, Outcome, Problem
@@ -82,7 +82,7 @@
         try:
             return await self._lists(path, request)
         except TableUnavailable as error:
-            return as_table_problem(error)
+            return to_table_problem_response(error)
 
     async def _lists(self, path: str, request: HttpRequest) -> HttpResponse:
         if path == "lists/history":
--- a/coltsfoottray/entry/problems.py
+++ b/coltsfoottray/entry/problems.py
@@ -7,12 +7,12 @@
 from coltsfoottray.http import HttpResponse, Outcome, Problem
 from coltsfoottray.platform import TableUnavailable
 
-__all__ = ["as_table_problem"]
+__all__ = ["to_table_problem_response"]
 
 _RETRY_AFTER = timedelta(seconds=2)
 
 
-def as_table_problem(error: TableUnavailable) -> HttpResponse:
+def to_table_problem_response(error: TableUnavailable) -> HttpResponse:
     """Say truthfully whether anything was written.
 
     The same submission, or the same edit with its token, may be sent again.
