--- a/coltsfoottray/daemons/job_common.py
+++ b/coltsfoottray/daemons/job_common.py
@@ -75,7 +75,7 @@
         round_about = RelayTransport(
             direct=self.transport,
             peers=self.peers,
-            helpers=self.members.entries,
+            relays=self.members.entries,
             clock=self.clock,
             random=self.random,
         )
--- a/coltsfoottray/daemons/job_entry.py
+++ b/coltsfoottray/daemons/job_entry.py
@@ -113,7 +113,7 @@
         )
         self.scheduler.add_handlers(self.handlers)
         relay = Relay(table=settings.table, transport=self.transport)
-        self.handlers.add(RELAY, relay.answer)
+        self.handlers.add(RELAY, relay.handle)
         self._background = Background()
         job_api = JobApi(
             table=self.table,
--- a/coltsfoottray/peers/relay.py
+++ b/coltsfoottray/peers/relay.py
@@ -71,7 +71,7 @@
         self._table = table
         self._transport = transport
 
-    async def answer(self, request: RelayRequest) -> RelayReply:
+    async def handle(self, request: RelayRequest) -> RelayReply:
         """Pass one request on."""
         message = HttpRequest(
             method=request.method,
@@ -101,13 +101,13 @@
         *,
         direct: HttpTransport,
         peers: PeerClient,
-        helpers: Callable[[], Sequence[Address]],
+        relays: Callable[[], Sequence[Address]],
         clock: Clock,
         random: Random,
     ) -> None:
         self._direct = direct
         self._peers = peers
-        self._helpers = helpers
+        self._relays = relays
         self._clock = clock
         self._random = random
         self._detour_until = timedelta(0)
@@ -213,10 +213,10 @@
         self, request: HttpRequest, timeout: timedelta
     ) -> HttpResponse | None:
         """Send through an entry; None if it has certainly not been seen."""
-        helpers = self._helpers()
-        if not helpers or self._clock.elapsed() < self._pause_until:
+        relays = self._relays()
+        if not relays or self._clock.elapsed() < self._pause_until:
             return None
-        helper = self._random.choice(helpers)
+        relay = self._random.choice(relays)
         message = RelayRequest(
             method=request.method,
             target=request.target,
@@ -225,21 +225,21 @@
             timeout_ms=int(timeout.total_seconds() * 1000),
         )
         try:
-            reply = await self._peers.call(helper, RELAY, message, timeout=timeout)
+            reply = await self._peers.call(relay, RELAY, message, timeout=timeout)
         except CommunicationError as error:
             self._pause(str(error))
             if error.is_unseen:
                 return None
             raise
         if reply.status == 0:
-            self._pause(f"{helper} got no answer")
+            self._pause(f"{relay} got no answer")
             if reply.is_unseen:
                 return None
             raise CommunicationError(
-                step=Step.RECEIVE, peer=f"table by {helper}", detail="no answer"
+                step=Step.RECEIVE, peer=f"table by {relay}", detail="no answer"
             )
         if reply.status in _TURNED_AWAY:
-            self._pause(f"{helper} got status {reply.status}")
+            self._pause(f"{relay} got status {reply.status}")
         return HttpResponse(status=reply.status, body=reply.body)
 
     def _pause(self, reason: str) -> None:
