--- a/coltsfoottray/daemons/upstream.py
+++ b/coltsfoottray/daemons/upstream.py
@@ -10,7 +10,11 @@
 from coltsfoottray.membership import Announcement
 from coltsfoottray.settings import UpstreamSettings
 from coltsfoottray.types import Role
-from coltsfoottray.upstream import ExecutionLedger, SlotGate, UpstreamAttendant
+from coltsfoottray.upstream import (
+    ConcurrencyLimiter,
+    ExecutionLedger,
+    UpstreamAttendant,
+)
 
 __all__ = ["UpstreamDaemon"]
 
@@ -32,9 +36,11 @@
             ledger=ExecutionLedger(
                 clock=self.clock,
                 retention=settings.timing.retention,
-                answer_bytes=int(settings.answer_mb * _MB),
+                max_answer_bytes=int(settings.answer_mb * _MB),
+            ),
+            limiter=ConcurrencyLimiter(
+                slots=settings.slots, connections=settings.connections
             ),
-            gate=SlotGate(slots=settings.slots, connections=settings.connections),
             holder=self.holder,
             transport=self.transport,
             clock=self.clock,
--- a/coltsfoottray/upstream/attendant.py
+++ b/coltsfoottray/upstream/attendant.py
@@ -15,7 +15,7 @@
 from coltsfoottray.requests.messages import RunOutcome, RunReply, RunRequest, read_int
 from coltsfoottray.types import Address, Incarnation, Kind, RequestId
 from coltsfoottray.upstream.ledger import Execution, ExecutionLedger, ExecutionState
-from coltsfoottray.upstream.slots import SlotGate
+from coltsfoottray.upstream.slots import ConcurrencyLimiter
 
 __all__ = ["UpstreamAttendant"]
 
@@ -42,7 +42,7 @@
         upstream: Address,
         incarnation: Incarnation,
         ledger: ExecutionLedger,
-        gate: SlotGate,
+        limiter: ConcurrencyLimiter,
         holder: ListHolder,
         transport: HttpTransport,
         clock: Clock,
@@ -50,7 +50,7 @@
         self._upstream = upstream
         self._incarnation = incarnation
         self._ledger = ledger
-        self._gate = gate
+        self._limiter = limiter
         self._holder = holder
         self._transport = transport
         self._clock = clock
@@ -60,9 +60,9 @@
     def load(self) -> LoadReport:
         """Return how busy the instance is now."""
         return LoadReport(
-            slots=self._gate.slots,
-            connections=self._gate.connections,
-            in_flight=self._gate.in_flight,
+            slots=self._limiter.slots,
+            connections=self._limiter.connections,
+            in_flight=self._limiter.in_flight,
             service_s_by_kind=dict(self._service_s_by_kind),
         )
 
@@ -84,8 +84,8 @@
         What waits for a slot is refused as not run, and runs elsewhere sooner.
         """
         self.is_draining = True
-        await self._gate.close()
-        while self._gate.in_flight:
+        await self._limiter.close()
+        while self._limiter.in_flight:
             await self._clock.sleep(_DRAIN_POLL)
 
     async def _reply(self, message: HttpRequest) -> RunReply:
@@ -137,7 +137,7 @@
         return _as_reply(execution)
 
     def _refusal(self, request: RunRequest) -> RunReply | None:
-        """Return why `request` may not start here, or None after `enter`."""
+        """Return why `request` may not start; None once it holds a connection."""
         if self.is_draining:
             return _not_run("draining")
         lists = self._holder.current
@@ -147,7 +147,9 @@
         allowance = lists.allowance_of(request.customer)
         if allowance is None:
             return _not_run(lists.line_of(request.customer), is_final=True)
-        reason = self._gate.enter(request.customer, allowance.vm_share)
+        reason = self._limiter.try_acquire_connection(
+            request.customer, allowance.vm_share
+        )
         return None if reason is None else _not_run(reason)
 
     async def _run_admitted(
@@ -169,20 +171,20 @@
             try:
                 await self._forward(request, execution)
             finally:
-                self._gate.release(request.customer)
+                self._limiter.release_slot(request.customer)
         finally:
-            self._gate.leave(request.customer)
-            await self._gate.wake_waiting()
+            self._limiter.release_connection(request.customer)
+            await self._limiter.notify_waiters()
         return _as_reply(execution)
 
     async def _wait_for_slot(self, request: RunRequest, execution: Execution) -> bool:
         share = self._share(request)
         with trio.move_on_after(request.remaining.total_seconds()):
-            if not await self._gate.acquire(request.customer, share):
+            if not await self._limiter.acquire_slot(request.customer, share):
                 return False
             if self._ledger.start(execution):
                 return True
-            self._gate.release(request.customer)
+            self._limiter.release_slot(request.customer)
         return False
 
     def _share(self, request: RunRequest) -> float:
--- a/coltsfoottray/upstream/ledger.py
+++ b/coltsfoottray/upstream/ledger.py
@@ -43,12 +43,12 @@
     request: RequestId
     attempt: int
     state: ExecutionState
-    seen_at: timedelta
+    changed_at: timedelta
     answer: HttpResponse | None = None
     ended: trio.Event = field(default_factory=trio.Event)
 
     @property
-    def is_ended(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether the state is final."""
         return self.state in _ENDED
 
@@ -68,11 +68,11 @@
     """
 
     def __init__(
-        self, *, clock: Clock, retention: timedelta, answer_bytes: int
+        self, *, clock: Clock, retention: timedelta, max_answer_bytes: int
     ) -> None:
         self._clock = clock
         self._retention = retention
-        self._answer_bytes = answer_bytes
+        self._max_answer_bytes = max_answer_bytes
         self._held_bytes = 0
         self._execution_by_id: dict[RequestId, Execution] = {}
 
@@ -139,14 +139,14 @@
             request=request,
             attempt=attempt,
             state=state,
-            seen_at=self._clock.elapsed(),
+            changed_at=self._clock.elapsed(),
         )
         self._execution_by_id[request] = execution
         return execution
 
     def _end(self, execution: Execution, state: ExecutionState) -> None:
         execution.state = state
-        execution.seen_at = self._clock.elapsed()
+        execution.changed_at = self._clock.elapsed()
         execution.ended.set()
 
     def _forget_old(self) -> None:
@@ -154,17 +154,17 @@
         oldest = self._clock.elapsed() - self._retention
         while self._execution_by_id:
             first = next(iter(self._execution_by_id.values()))
-            if not first.is_ended or first.seen_at > oldest:
+            if not first.has_ended or first.changed_at > oldest:
                 return
             self._release_answer(first)
             del self._execution_by_id[first.request]
 
     def _drop_answers(self) -> None:
-        if self._held_bytes <= self._answer_bytes:
+        if self._held_bytes <= self._max_answer_bytes:
             return
         for execution in self._execution_by_id.values():
             self._release_answer(execution)
-            if self._held_bytes <= self._answer_bytes:
+            if self._held_bytes <= self._max_answer_bytes:
                 return
 
     def _release_answer(self, execution: Execution) -> None:
--- a/coltsfoottray/upstream/slots.py
+++ b/coltsfoottray/upstream/slots.py
@@ -9,10 +9,10 @@
 
 from coltsfoottray.types import CustomerId
 
-__all__ = ["SlotGate"]
+__all__ = ["ConcurrencyLimiter"]
 
 
-class SlotGate:
+class ConcurrencyLimiter:
     """Bounds what an instance holds at once, in all and for each customer.
 
     Parameters
@@ -33,7 +33,7 @@
         self._is_closed = False
         self._freed = trio.Condition()
 
-    def enter(self, customer: CustomerId, share: float) -> str | None:
+    def try_acquire_connection(self, customer: CustomerId, share: float) -> str | None:
         """Take a connection; return why not, or None when taken."""
         if self.in_flight >= self.connections:
             return f"all {self.connections} connections are taken"
@@ -44,14 +44,14 @@
         self._in_flight_by_customer[customer] += 1
         return None
 
-    def leave(self, customer: CustomerId) -> None:
+    def release_connection(self, customer: CustomerId) -> None:
         """Give the connection back."""
         self.in_flight -= 1
         self._in_flight_by_customer[customer] -= 1
         if not self._in_flight_by_customer[customer]:
             del self._in_flight_by_customer[customer]
 
-    async def acquire(self, customer: CustomerId, share: float) -> bool:
+    async def acquire_slot(self, customer: CustomerId, share: float) -> bool:
         """Wait for a slot, in order of arrival among those who may have one.
 
         Returns
@@ -75,16 +75,16 @@
     async def close(self) -> None:
         """Send away those who wait; those who hold a slot go on."""
         self._is_closed = True
-        await self.wake_waiting()
+        await self.notify_waiters()
 
-    def release(self, customer: CustomerId) -> None:
+    def release_slot(self, customer: CustomerId) -> None:
         """Give the slot back."""
         self._running -= 1
         self._running_by_customer[customer] -= 1
         if not self._running_by_customer[customer]:
             del self._running_by_customer[customer]
 
-    async def wake_waiting(self) -> None:
+    async def notify_waiters(self) -> None:
         """Let those who wait look again."""
         with trio.CancelScope(shield=True):
             async with self._freed:
