--- a/coltsfoottray/upstream/__init__.py
+++ b/coltsfoottray/upstream/__init__.py
@@ -1,4 +1,4 @@
-"""The attendant beside an upstream: last judge of what starts there."""
+"""The attendant of an upstream, which makes the final decision to start a request."""
 
 from __future__ import annotations
 
--- a/coltsfoottray/upstream/attendant.py
+++ b/coltsfoottray/upstream/attendant.py
@@ -1,4 +1,4 @@
-"""Running requests at one upstream instance."""
+"""Execution of requests at one upstream instance."""
 
 from __future__ import annotations
 
@@ -19,21 +19,22 @@
 
 __all__ = ["UpstreamAttendant"]
 
-# Weight of the newest service time in the decayed average.
-_AVERAGE_WEIGHT = 0.2
-_DRAIN_POLL = timedelta(milliseconds=50)
+# Weight of the latest service time in the exponentially weighted average.
+_SMOOTHING_FACTOR = 0.2
+_DRAIN_POLL_INTERVAL = timedelta(milliseconds=50)
 
 
 class UpstreamAttendant:
-    """Judges, forwards and remembers the requests of one upstream instance.
+    """Admits, forwards and records the requests of one upstream instance.
 
     Parameters
     ----------
     upstream : Address
-        Where the upstream listens.
+        Address on which the upstream listens.
     incarnation : Incarnation
-        This life of the attendant. Messages meant for an earlier one are
-        refused: that one's memory of ids is lost, so nothing may rest on it.
+        Identifies this process of the attendant. Messages meant for an earlier
+        incarnation are refused, because the record of request ids that they rely on
+        is lost.
     """
 
     def __init__(
@@ -58,7 +59,7 @@
         self.is_draining = False
 
     def load(self) -> LoadReport:
-        """Return how busy the instance is now."""
+        """Return the current load of the instance."""
         return LoadReport(
             slots=self._limiter.slots,
             connections=self._limiter.connections,
@@ -67,7 +68,7 @@
         )
 
     async def handle(self, message: HttpRequest) -> HttpResponse:
-        """Answer one message of an entry."""
+        """Handle one message from an entry."""
         reply = await self._reply(message)
         return RunReply(
             outcome=reply.outcome,
@@ -79,14 +80,15 @@
         ).as_http()
 
     async def drain(self) -> None:
-        """Take nothing new, and return once nothing is in flight.
+        """Refuse new requests, and return once none is in flight.
 
-        What waits for a slot is refused as not run, and runs elsewhere sooner.
+        Requests that wait for a slot are answered as not run, so that their entries
+        can send them to other instances at once.
         """
         self.is_draining = True
         await self._limiter.close()
         while self._limiter.in_flight:
-            await self._clock.sleep(_DRAIN_POLL)
+            await self._clock.sleep(_DRAIN_POLL_INTERVAL)
 
     async def _reply(self, message: HttpRequest) -> RunReply:
         if message.method == "POST":
@@ -98,7 +100,7 @@
             )
         if message.method == "DELETE":
             attempt = read_int(message.header_by_name, "x-attempt")
-            return _as_reply(self._ledger.tombstone(request, attempt))
+            return _to_reply(self._ledger.tombstone(request, attempt))
         if message.method == "GET":
             return await self._fetch(request, message.query.get("wait_ms", "0"))
         raise InputError(
@@ -108,41 +110,41 @@
     async def _fetch(self, request: RequestId, wait_ms: str) -> RunReply:
         execution = self._ledger.find(request)
         if execution is None:
-            return RunReply(outcome=RunOutcome.ABSENT, reason="never seen here")
+            return RunReply(outcome=RunOutcome.ABSENT, reason="unknown request id")
         with trio.move_on_after(int(wait_ms) / 1000):
             await execution.ended.wait()
-        return _as_reply(execution)
+        return _to_reply(execution)
 
     async def _run(self, message: HttpRequest) -> RunReply:
         request = RunRequest.of_http(message)
         if message.header_by_name.get("x-incarnation") != self._incarnation:
-            # Nothing of this message was run, but an earlier send of the same
-            # id may have been, by the former self.
+            # This message was not run, but the previous incarnation may have run an
+            # earlier attempt of the same id.
             return _not_run("the attendant restarted")
         execution = self._ledger.admit(request.request, request.attempt)
         if execution is None:
-            return await self._join(request)
-        refusal = self._refusal(request)
+            return await self._wait_for_existing(request)
+        refusal = self._check_admission(request)
         if refusal is not None:
             self._ledger.withdraw(execution)
             return refusal
         return await self._run_admitted(request, execution)
 
-    async def _join(self, request: RunRequest) -> RunReply:
-        """Wait for an id that was seen before; it never starts again."""
+    async def _wait_for_existing(self, request: RunRequest) -> RunReply:
+        """Wait for the existing execution of an id; the id is not started again."""
         execution = self._ledger.find(request.request)
         assert execution is not None
         with trio.move_on_after(request.remaining.total_seconds()):
             await execution.ended.wait()
-        return _as_reply(execution)
+        return _to_reply(execution)
 
-    def _refusal(self, request: RunRequest) -> RunReply | None:
+    def _check_admission(self, request: RunRequest) -> RunReply | None:
         """Return why `request` may not start; None once it holds a connection."""
         if self.is_draining:
             return _not_run("draining")
         lists = self._holder.current
         if request.lists_version < lists.version:
-            # The entry decided by lists that are no longer in force.
+            # The entry decided on lists that are no longer in force.
             return _not_run(f"lists at version {lists.version} are in force")
         allowance = lists.allowance_of(request.customer)
         if allowance is None:
@@ -157,13 +159,13 @@
     ) -> RunReply:
         """Run an execution that holds a connection.
 
-        Shielded from the entry's connection: the answer is kept for a later
-        fetch, also when the connection that asked for it has gone.
+        The call to the upstream is shielded from cancellation, so that the answer is
+        kept for a later fetch even if the connection to the entry is lost.
         """
         try:
             if not await self._wait_for_slot(request, execution):
                 if execution.state is ExecutionState.TOMBSTONED:
-                    return _as_reply(execution)
+                    return _to_reply(execution)
                 self._ledger.withdraw(execution)
                 if self.is_draining:
                     return _not_run("draining")
@@ -175,10 +177,10 @@
         finally:
             self._limiter.release_connection(request.customer)
             await self._limiter.notify_waiters()
-        return _as_reply(execution)
+        return _to_reply(execution)
 
     async def _wait_for_slot(self, request: RunRequest, execution: Execution) -> bool:
-        share = self._share(request)
+        share = self._vm_share(request)
         with trio.move_on_after(request.remaining.total_seconds()):
             if not await self._limiter.acquire_slot(request.customer, share):
                 return False
@@ -187,12 +189,12 @@
             self._limiter.release_slot(request.customer)
         return False
 
-    def _share(self, request: RunRequest) -> float:
+    def _vm_share(self, request: RunRequest) -> float:
         allowance = self._holder.current.allowance_of(request.customer)
         return 1.0 if allowance is None else allowance.vm_share
 
     async def _forward(self, request: RunRequest, execution: Execution) -> None:
-        started = self._clock.elapsed()
+        started_at = self._clock.elapsed()
         message = HttpRequest(
             method="POST",
             target=f"/{request.kind}",
@@ -204,30 +206,34 @@
                 answer = await self._transport.send(self._upstream, message)
             except CommunicationError as error:
                 log_event("upstream:broken", request=request.request, error=str(error))
-                self._note_broken(execution, error)
+                self._record_upstream_failure(execution, error)
                 return
-        self._note_service_time(request.kind, self._clock.elapsed() - started)
+        self._record_service_time(request.kind, self._clock.elapsed() - started_at)
         self._ledger.finish(execution, answer)
 
-    def _note_broken(self, execution: Execution, error: CommunicationError) -> None:
+    def _record_upstream_failure(
+        self, execution: Execution, error: CommunicationError
+    ) -> None:
         if error.is_unseen:
-            # The upstream was never reached, so a tombstone is the truth.
+            # The upstream was never reached, so the request certainly did not run.
             execution.state = ExecutionState.WAITING
             self._ledger.tombstone(execution.request, execution.attempt)
         else:
             self._ledger.finish(execution, None)
 
-    def _note_service_time(self, kind: Kind, duration: timedelta) -> None:
+    def _record_service_time(self, kind: Kind, duration: timedelta) -> None:
         seconds = duration.total_seconds()
-        before = self._service_s_by_kind.get(kind, seconds)
-        self._service_s_by_kind[kind] = before + _AVERAGE_WEIGHT * (seconds - before)
+        previous = self._service_s_by_kind.get(kind, seconds)
+        self._service_s_by_kind[kind] = previous + _SMOOTHING_FACTOR * (
+            seconds - previous
+        )
 
 
 def _not_run(reason: str, *, is_final: bool = False) -> RunReply:
     return RunReply(outcome=RunOutcome.NOT_RUN, reason=reason, is_final=is_final)
 
 
-def _as_reply(execution: Execution) -> RunReply:
+def _to_reply(execution: Execution) -> RunReply:
     state = execution.state
     if state is ExecutionState.TOMBSTONED:
         return _not_run("cancelled before it started")
@@ -235,10 +241,12 @@
         return RunReply(outcome=RunOutcome.ANSWERED, response=execution.answer)
     if state is ExecutionState.ANSWERED:
         return RunReply(
-            outcome=RunOutcome.UNKNOWN, reason="it ran, and its answer is dropped"
+            outcome=RunOutcome.UNKNOWN,
+            reason="the request ran, but its answer was dropped",
         )
     if state is ExecutionState.UNKNOWN:
         return RunReply(
-            outcome=RunOutcome.UNKNOWN, reason="the upstream broke off while it ran"
+            outcome=RunOutcome.UNKNOWN,
+            reason="the call to the upstream failed during the run",
         )
     return RunReply(outcome=RunOutcome.RUNNING, reason=state.value)
--- a/coltsfoottray/upstream/ledger.py
+++ b/coltsfoottray/upstream/ledger.py
@@ -1,4 +1,4 @@
-"""What an attendant remembers of each request id."""
+"""The executions that an attendant records, by request id."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ExecutionState(enum.Enum):
-    """How far a request has come at this instance."""
+    """Progress of a request at this instance."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -25,19 +25,25 @@
     TOMBSTONED = "tombstoned"
 
 
-_ENDED = frozenset(
+_FINAL_STATES = frozenset(
     {ExecutionState.ANSWERED, ExecutionState.UNKNOWN, ExecutionState.TOMBSTONED}
 )
 
 
 @dataclass(kw_only=True)
 class Execution:
-    """One request id at this instance.
+    """The execution of one request id at this instance.
 
     Parameters
     ----------
     attempt : int
-        The sending that it came by, or the highest that was cancelled.
+        The attempt that delivered the request, or the highest attempt cancelled.
+    changed_at : timedelta
+        When the execution was added or ended, by the attendant's clock.
+    answer : HttpResponse, optional
+        The complete answer, unless it has been dropped to save memory.
+    ended : trio.Event
+        Set once the state is final.
     """
 
     request: RequestId
@@ -50,21 +56,21 @@
     @property
     def has_ended(self) -> bool:
         """Whether the state is final."""
-        return self.state in _ENDED
+        return self.state in _FINAL_STATES
 
 
 class ExecutionLedger:
-    """Remembers ids, so that none starts twice here.
+    """Records executions so that no request id starts twice at this instance.
 
     Parameters
     ----------
     retention : timedelta
-        How long an ended id is remembered, answer and all. A caller that asks
-        again later than this is treated as new here.
+        How long the id and answer of an ended execution are kept. A request that
+        is repeated later than this is treated as new.
     answer_bytes : int
-        Bound on the answers kept. Past it the oldest answers are dropped while
-        their ids stay: such a request still never starts again, but its answer
-        can no longer be had.
+        Maximum total size of the stored answer bodies. Beyond it the oldest answers
+        are dropped while their ids stay: such a request still never starts again,
+        but its answer is no longer available.
     """
 
     def __init__(
@@ -73,56 +79,56 @@
         self._clock = clock
         self._retention = retention
         self._max_answer_bytes = max_answer_bytes
-        self._held_bytes = 0
+        self._stored_bytes = 0
         self._execution_by_id: dict[RequestId, Execution] = {}
 
     def find(self, request: RequestId) -> Execution | None:
-        """Return what is remembered of `request`."""
+        """Return the execution of `request`, or None if its id is not recorded."""
         return self._execution_by_id.get(request)
 
     def admit(self, request: RequestId, attempt: int) -> Execution | None:
-        """Return a new execution, or None if `request` was seen before.
+        """Add and return a new execution, or None if `request` is already recorded.
 
-        A cancelled id may start by a later attempt: that one was sent by
-        somebody who knew of the cancellation.
+        A cancelled id may start with a higher attempt, because its sender knew of
+        the cancellation.
         """
-        self._forget_old()
-        earlier = self._execution_by_id.get(request)
-        if earlier is not None:
-            is_cancelled = earlier.state is ExecutionState.TOMBSTONED
-            if not is_cancelled or attempt <= earlier.attempt:
+        self._remove_expired()
+        existing = self._execution_by_id.get(request)
+        if existing is not None:
+            is_cancelled = existing.state is ExecutionState.TOMBSTONED
+            if not is_cancelled or attempt <= existing.attempt:
                 return None
             del self._execution_by_id[request]
         return self._add(request, attempt, ExecutionState.WAITING)
 
     def withdraw(self, execution: Execution) -> None:
-        """Forget an execution that certainly did not start."""
+        """Remove an execution that certainly did not start."""
         self._end(execution, ExecutionState.TOMBSTONED)
         del self._execution_by_id[execution.request]
 
     def start(self, execution: Execution) -> bool:
-        """Mark as running; False if a tombstone came first."""
+        """Mark as running; return False if it was tombstoned first."""
         if execution.state is not ExecutionState.WAITING:
             return False
         execution.state = ExecutionState.RUNNING
         return True
 
     def finish(self, execution: Execution, answer: HttpResponse | None) -> None:
-        """Record the whole answer, or None where the upstream's fate is unknown."""
+        """Record the complete answer, or None if the outcome is unknown."""
         execution.answer = answer
         if answer is None:
             self._end(execution, ExecutionState.UNKNOWN)
             return
-        self._held_bytes += len(answer.body)
+        self._stored_bytes += len(answer.body)
         self._end(execution, ExecutionState.ANSWERED)
-        self._drop_answers()
+        self._drop_oldest_answers()
 
     def tombstone(self, request: RequestId, attempt: int) -> Execution:
         """Cancel `request` unless it has started.
 
-        After a tombstone no attempt up to this one can start here, also when
-        the message that was to start it is still on its way. That is what lets
-        an entry send the request elsewhere.
+        After a tombstone no attempt up to `attempt` can start here, even if its
+        message arrives later, so the entry may send the request to another
+        instance.
         """
         execution = self._execution_by_id.get(request)
         if execution is None:
@@ -149,25 +155,28 @@
         execution.changed_at = self._clock.elapsed()
         execution.ended.set()
 
-    def _forget_old(self) -> None:
-        """Drop ended ids past retention; insertion order is near enough to age."""
+    def _remove_expired(self) -> None:
+        """Remove ended executions older than the retention.
+
+        Insertion order serves as an approximation of the order in which they ended.
+        """
         oldest = self._clock.elapsed() - self._retention
         while self._execution_by_id:
             first = next(iter(self._execution_by_id.values()))
             if not first.has_ended or first.changed_at > oldest:
                 return
-            self._release_answer(first)
+            self._drop_answer(first)
             del self._execution_by_id[first.request]
 
-    def _drop_answers(self) -> None:
-        if self._held_bytes <= self._max_answer_bytes:
+    def _drop_oldest_answers(self) -> None:
+        if self._stored_bytes <= self._max_answer_bytes:
             return
         for execution in self._execution_by_id.values():
-            self._release_answer(execution)
-            if self._held_bytes <= self._max_answer_bytes:
+            self._drop_answer(execution)
+            if self._stored_bytes <= self._max_answer_bytes:
                 return
 
-    def _release_answer(self, execution: Execution) -> None:
+    def _drop_answer(self, execution: Execution) -> None:
         if execution.answer is not None:
-            self._held_bytes -= len(execution.answer.body)
+            self._stored_bytes -= len(execution.answer.body)
             execution.answer = None
--- a/coltsfoottray/upstream/slots.py
+++ b/coltsfoottray/upstream/slots.py
@@ -1,4 +1,4 @@
-"""Slots, connections and each customer's share of them."""
+"""Limits on slots and connections, in total and per customer."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 
 
 class ConcurrencyLimiter:
-    """Bounds what an instance holds at once, in all and for each customer.
+    """Limits the concurrent requests of an instance, in total and per customer.
 
     Parameters
     ----------
     slots : int
-        Requests the upstream works on at once.
+        Number of requests that the upstream processes at once.
     connections : int
-        Requests that may be here at once, working or waiting for a slot.
+        Number of requests that may be admitted at once, whether the upstream
+        processes them or they wait for a slot.
     """
 
     def __init__(self, *, slots: int, connections: int) -> None:
@@ -31,61 +32,83 @@
         self._running_by_customer: Counter[CustomerId] = Counter()
         self._running = 0
         self._is_closed = False
-        self._freed = trio.Condition()
+        self._slot_freed = trio.Condition()
 
     def try_acquire_connection(self, customer: CustomerId, share: float) -> str | None:
-        """Take a connection; return why not, or None when taken."""
+        """Acquire a connection, or return the reason why none is available.
+
+        Parameters
+        ----------
+        share : float
+            The fraction of all connections, 0 to 1, that the customer may hold; the
+            limit is rounded up.
+
+        Returns
+        -------
+        str or None
+            None if the connection was acquired.
+        """
         if self.in_flight >= self.connections:
-            return f"all {self.connections} connections are taken"
-        allowed = math.ceil(share * self.connections)
-        if self._in_flight_by_customer[customer] >= allowed:
-            return f"{customer} holds its share of {allowed} connections here"
+            return f"all {self.connections} connections are in use"
+        limit = math.ceil(share * self.connections)
+        if self._in_flight_by_customer[customer] >= limit:
+            return f"{customer} already uses its share of {limit} connections"
         self.in_flight += 1
         self._in_flight_by_customer[customer] += 1
         return None
 
     def release_connection(self, customer: CustomerId) -> None:
-        """Give the connection back."""
+        """Release one connection of `customer`."""
         self.in_flight -= 1
         self._in_flight_by_customer[customer] -= 1
         if not self._in_flight_by_customer[customer]:
             del self._in_flight_by_customer[customer]
 
     async def acquire_slot(self, customer: CustomerId, share: float) -> bool:
-        """Wait for a slot, in order of arrival among those who may have one.
+        """Wait for a slot.
+
+        Requests get slots in order of arrival, except that those of a customer that
+        uses its share of slots are passed over.
+
+        Parameters
+        ----------
+        share : float
+            The fraction of all slots, 0 to 1, that the customer may hold; the limit
+            is rounded up.
 
         Returns
         -------
         bool
-            False if the gate was closed while waiting; no slot is then held.
+            False if the limiter was closed while the request waited; it then holds no
+            slot.
         """
-        allowed = math.ceil(share * self.slots)
-        async with self._freed:
+        limit = math.ceil(share * self.slots)
+        async with self._slot_freed:
             while (
                 self._running >= self.slots
-                or self._running_by_customer[customer] >= allowed
+                or self._running_by_customer[customer] >= limit
             ):
                 if self._is_closed:
                     return False
-                await self._freed.wait()
+                await self._slot_freed.wait()
             self._running += 1
             self._running_by_customer[customer] += 1
         return True
 
     async def close(self) -> None:
-        """Send away those who wait; those who hold a slot go on."""
+        """Reject all waiting requests; requests that hold a slot keep it."""
         self._is_closed = True
         await self.notify_waiters()
 
     def release_slot(self, customer: CustomerId) -> None:
-        """Give the slot back."""
+        """Release one slot of `customer`."""
         self._running -= 1
         self._running_by_customer[customer] -= 1
         if not self._running_by_customer[customer]:
             del self._running_by_customer[customer]
 
     async def notify_waiters(self) -> None:
-        """Let those who wait look again."""
+        """Wake all waiting requests so that they check again for a free slot."""
         with trio.CancelScope(shield=True):
-            async with self._freed:
-                self._freed.notify_all()
+            async with self._slot_freed:
+                self._slot_freed.notify_all()
