--- a/coltsfoottray/peers/__init__.py
+++ b/coltsfoottray/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Calls between the system's own processes."""
+"""Remote calls between the daemons of the system."""
 
 from __future__ import annotations
 
--- a/coltsfoottray/peers/common.py
+++ b/coltsfoottray/peers/common.py
@@ -1,4 +1,4 @@
-"""A call between daemons, typed by its request and its reply."""
+"""Typed remote calls between daemons, independent of the protocol."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Call(Generic[Request, Reply]):
-    """One kind of call: its name and the two message types."""
+    """The name of a call with the types of its request and reply."""
 
     name: str
     request_type: type[Request]
@@ -28,12 +28,12 @@
 
     @property
     def path(self) -> str:
-        """The path by which the call is known on the wire."""
+        """The path that identifies the call on the wire."""
         return f"/coltsfoottray.Peers/{self.name}"
 
 
 class CallHandlers:
-    """The calls a daemon answers, each with its handler."""
+    """The calls that a daemon handles, each with its handler."""
 
     def __init__(self) -> None:
         self.handler_by_call: dict[Call[Any, Any], Callable[[Any], Awaitable[Any]]] = {}
@@ -43,7 +43,7 @@
         call: Call[Request, Reply],
         handler: Callable[[Request], Awaitable[Reply]],
     ) -> None:
-        """Answer `call` with `handler`."""
+        """Register `handler` for `call`."""
         self.handler_by_call[call] = handler
 
 
@@ -59,11 +59,11 @@
         *,
         timeout: timedelta,
     ) -> Reply:
-        """Make one call.
+        """Make one call and return its reply.
 
         Raises
         ------
         CommunicationError
-            If no reply came within `timeout`; with any step but `CONNECT` the
-            peer may have handled the call.
+            If no valid reply arrives within `timeout`. With any step but `CONNECT`
+            the peer may have handled the call.
         """
--- a/coltsfoottray/peers/grpc.py
+++ b/coltsfoottray/peers/grpc.py
@@ -1,4 +1,4 @@
-"""Peer calls over grpclib, msgpack-encoded, on trio through trio-asyncio."""
+"""Peer calls over grpclib, encoded as msgpack, run on trio through trio-asyncio."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class _MsgpackCodec(CodecBase):
-    """Messages are msgspec structs, so nothing has to be generated."""
+    """Encodes messages as msgpack; msgspec structs need no generated classes."""
 
     __content_subtype__ = "msgpack"
 
@@ -37,8 +37,8 @@
         return msgspec.msgpack.decode(data, type=message_type)
 
 
-class _Mapping:
-    """The shape in which grpclib wants the handlers."""
+class _Servable:
+    """Adapts `CallHandlers` to the interface that grpclib expects of a service."""
 
     def __init__(self, handlers: CallHandlers) -> None:
         self._handlers = handlers
@@ -46,7 +46,7 @@
     def __mapping__(self) -> dict[str, Handler]:
         return {
             call.path: Handler(
-                _as_stream_handler(handler),
+                _make_stream_handler(handler),
                 Cardinality.UNARY_UNARY,
                 call.request_type,
                 call.reply_type,
@@ -55,21 +55,24 @@
         }
 
 
-def _as_stream_handler(
+def _make_stream_handler(
     handler: Callable[[Any], Awaitable[Any]],
 ) -> Callable[[Stream[Any, Any]], Awaitable[None]]:
     """Return a grpclib handler that runs `handler` under trio."""
-    under_trio = trio_asyncio.trio_as_aio(handler)
+    run_under_trio = trio_asyncio.trio_as_aio(handler)
 
     async def serve(stream: Stream[Any, Any]) -> None:
         request = await stream.recv_message()
-        await stream.send_message(await under_trio(request))
+        await stream.send_message(await run_under_trio(request))
 
     return serve
 
 
 class GrpcPeerServer(Listener):
-    """Answers peer calls on `address`; port 0 takes a free one, see `bound`."""
+    """Serves peer calls on `address`.
+
+    With port 0 the system selects a free port; `bound` holds the actual address.
+    """
 
     def __init__(self, *, address: Address, handlers: CallHandlers) -> None:
         self._address = address
@@ -80,7 +83,7 @@
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
         async with trio_asyncio.open_loop():
-            server = Server([_Mapping(self._handlers)], codec=_MsgpackCodec())
+            server = Server([_Servable(self._handlers)], codec=_MsgpackCodec())
             start = trio_asyncio.aio_as_trio(server.start)
             await start(self._address.host, self._address.port)
             sockets = server._server.sockets  # type: ignore[union-attr]
@@ -94,7 +97,7 @@
 
 
 class GrpcPeerClient(PeerClient, Service):
-    """Keeps one channel for each peer."""
+    """Makes calls over gRPC, with one channel per peer."""
 
     def __init__(self) -> None:
         self._channel_by_address: dict[Address, Channel] = {}
@@ -135,14 +138,15 @@
                     raise
                 return await trio_asyncio.aio_as_trio(method)(request)  # type: ignore
         except (OSError, GRPCError, StreamTerminatedError, trio.TooSlowError) as error:
-            self._drop(address, channel)
+            self._discard_channel(address, channel)
             raise CommunicationError(
                 step=step, peer=str(address), detail=str(error) or type(error).__name__
             ) from error
         finally:
             if self._channel_by_address.get(address) is not channel:
-                # Dropped by another call while this one connected it. A connection
-                # that nobody closes ends the process when it is collected.
+                # Another call discarded the channel while this one connected it. A
+                # connection that is never closed raises an error when it is garbage
+                # collected, which ends the process.
                 channel.close()
             trio_asyncio.current_loop.reset(token)
 
@@ -155,11 +159,11 @@
             self._channel_by_address[address] = channel
         return channel
 
-    def _drop(self, address: Address, channel: Channel) -> None:
-        """Replace a channel after an error.
+    def _discard_channel(self, address: Address, channel: Channel) -> None:
+        """Close a channel after an error, so that the next call opens a new one.
 
-        A connection can go silent for good while new ones work; a channel that
-        failed once is therefore never used again.
+        A connection can stop transmitting permanently while new ones work, so a
+        channel is not used again after an error.
         """
         if self._channel_by_address.get(address) is channel:
             del self._channel_by_address[address]
--- a/coltsfoottray/peers/http.py
+++ b/coltsfoottray/peers/http.py
@@ -1,7 +1,7 @@
-"""Peer calls over h11, msgpack-encoded, for the calls that each request makes.
+"""Peer calls over HTTP with h11, encoded as msgpack, for calls on the request path.
 
-A call costs about a quarter of what one over grpclib does (docs/design/
-data-path.md), and has no trio-asyncio loop to cross.
+A call costs about a quarter of a call over grpclib (docs/design/data-path.md) and
+does not cross a trio-asyncio loop.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class HttpPeerClient(PeerClient):
-    """Makes calls by `POST`."""
+    """Makes calls as HTTP `POST` requests."""
 
     def __init__(self, *, transport: HttpTransport) -> None:
         self._transport = transport
@@ -45,13 +45,13 @@
 
 
 class HttpPeerHandler:
-    """Answers calls made by `HttpPeerClient`."""
+    """Handles the calls that `HttpPeerClient` makes."""
 
     def __init__(self, *, handlers: CallHandlers) -> None:
         self._handlers = handlers
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one call."""
+        """Handle one call; return status 404 if it has no handler."""
         for call, handler in self._handlers.handler_by_call.items():
             if call.path == request.path:
                 message = msgspec.msgpack.decode(request.body, type=call.request_type)
--- a/coltsfoottray/peers/relay.py
+++ b/coltsfoottray/peers/relay.py
@@ -1,9 +1,10 @@
-"""A way round: requests to the table that go through another entry.
+"""Relaying of requests to the table through another entry.
 
-Answers a table that turns some VMs away, or cannot be reached from some, while it
-serves others: what is asked is passed on by an entry that can reach it. Nothing is
-risked, since the table judges each request by its own conditions, whoever brings
-it; only what the table has certainly not seen is sent a second time from here.
+The table may reject requests from some VMs, or be unreachable from them, while it
+serves others. An entry that can reach it then forwards the request. Forwarding is
+safe, because the table checks the conditions of each request regardless of the
+sender, and a request is sent a second time only if the table certainly did not
+receive it.
 """
 
 from __future__ import annotations
@@ -26,17 +27,17 @@
 
 __all__ = ["RELAY", "Relay", "RelayReply", "RelayRequest", "RelayTransport"]
 
-# For so long the way round is taken first once the direct one has failed, so that
-# not each request finds out anew; then the direct one is tried again.
-_DETOUR = timedelta(seconds=2)
-# After the way round has failed as well the table is down for all: asking twice as
-# often would not help it up.
-_PAUSE = timedelta(seconds=1)
-_TURNED_AWAY = (429, 503)
+# Once a direct request has failed, requests are relayed first for this long, so that
+# not every request has to fail directly first. Then direct requests are tried again.
+_RELAY_DURATION = timedelta(seconds=2)
+# If the relay fails as well, the table is down for all daemons. Relaying pauses,
+# because twice as many requests would not help the table to recover.
+_RELAY_PAUSE = timedelta(seconds=1)
+_REJECTED_STATUSES = (429, 503)
 
 
 class RelayRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A request that a peer is to pass on to the table."""
+    """A request that a peer forwards to the table."""
 
     method: str
     target: str
@@ -46,14 +47,15 @@
 
 
 class RelayReply(msgspec.Struct, frozen=True, kw_only=True):
-    """The table's answer.
+    """The response of the table to a relayed request.
 
     Parameters
     ----------
     status : int
-        0 where the peer got no answer.
+        HTTP status, or 0 if the peer got no response.
     is_unseen : bool
-        Where there is no answer: the table has certainly not seen the request.
+        Whether the table certainly did not receive the request; set only if there
+        is no response.
     """
 
     status: int
@@ -65,14 +67,14 @@
 
 
 class Relay:
-    """Passes other daemons' requests on to the table."""
+    """Forwards requests of other daemons to the table."""
 
     def __init__(self, *, table: Address, transport: HttpTransport) -> None:
         self._table = table
         self._transport = transport
 
     async def handle(self, request: RelayRequest) -> RelayReply:
-        """Pass one request on."""
+        """Forward one request and return the response of the table."""
         message = HttpRequest(
             method=request.method,
             target=request.target,
@@ -88,12 +90,12 @@
 
 
 class RelayTransport(HttpTransport):
-    """Sends to the table directly, or through an entry while that fails.
+    """Sends requests to the table directly, or through an entry while that fails.
 
     Parameters
     ----------
     helpers : callable
-        Returns the peer addresses of other entries.
+        Returns the peer addresses of the other entries, which can relay requests.
     """
 
     def __init__(
@@ -110,8 +112,8 @@
         self._relays = relays
         self._clock = clock
         self._random = random
-        self._detour_until = timedelta(0)
-        self._pause_until = timedelta(0)
+        self._relay_until = timedelta(0)
+        self._relay_paused_until = timedelta(0)
 
     async def send(  # noqa: D102
         self,
@@ -121,100 +123,104 @@
         timeout: timedelta = DEFAULT_TIMEOUT,
         on_begun: OnBegun | None = None,
     ) -> HttpResponse:
-        response = await self._send_any_way(address, request, timeout)
+        response = await self._send_direct_or_relayed(address, request, timeout)
         if on_begun is not None:
-            # Only a whole answer has come by one way for certain.
+            # The callback runs only for the complete response: until then, it is not
+            # certain which of a direct and a relayed request will succeed.
             on_begun(response.status)
         return response
 
-    async def _send_any_way(
+    async def _send_direct_or_relayed(
         self, address: Address, request: HttpRequest, timeout: timedelta
     ) -> HttpResponse:
-        if self._clock.elapsed() < self._detour_until:
+        if self._clock.elapsed() < self._relay_until:
             if request.method == "GET":
-                return await self._read_both_ways(address, request, timeout)
-            response = await self._send_round(request, timeout)
+                return await self._read_concurrently(address, request, timeout)
+            response = await self._send_relayed(request, timeout)
             if response is not None:
                 return response
         try:
             response = await self._direct.send(address, request, timeout=timeout)
         except CommunicationError as error:
-            self._take_detour(str(error))
+            self._start_relaying(str(error))
             if not error.is_unseen:
                 raise
-            response = await self._send_round(request, timeout)
+            response = await self._send_relayed(request, timeout)
             if response is None:
                 raise
             return response
-        if response.status not in _TURNED_AWAY:
+        if response.status not in _REJECTED_STATUSES:
             return response
-        self._take_detour(f"status {response.status}")
-        return await self._send_round(request, timeout) or response
+        self._start_relaying(f"status {response.status}")
+        return await self._send_relayed(request, timeout) or response
 
-    async def _read_both_ways(
+    async def _read_concurrently(
         self, address: Address, request: HttpRequest, timeout: timedelta
     ) -> HttpResponse:
-        """Send a read directly and through an entry; return the first good answer.
+        """Send a read directly and through an entry, concurrently.
 
-        By way of one entry alone it would wait with that entry, were it cut off in
-        turn, though the direct way may be open again. Once the direct answer has
-        begun the other one is not waited for: it would come over the same link, and
-        delay both.
+        Return the first response that is not a rejection, if there is one.
+        With the relay alone, the read would hang if the chosen entry were cut off
+        from the table too, although the direct path may work again. Once the direct
+        response has started, the relayed request is cancelled: its response would
+        arrive over the same link and delay both.
         """
         answers: list[HttpResponse] = []
         errors: list[CommunicationError] = []
 
-        async def ask(way: Callable[[], Awaitable[HttpResponse | None]]) -> None:
+        async def collect(send: Callable[[], Awaitable[HttpResponse | None]]) -> None:
             try:
-                response = await way()
+                response = await send()
             except CommunicationError as error:
                 errors.append(error)
                 return
             if response is None:
                 return
             answers.append(response)
-            if response.status not in _TURNED_AWAY:
+            if response.status not in _REJECTED_STATUSES:
                 nursery.cancel_scope.cancel()
 
-        def end_detour(status: int) -> None:
-            if status not in _TURNED_AWAY:
-                self._end_detour()
-                round_about.cancel()
+        def stop_relaying(status: int) -> None:
+            if status not in _REJECTED_STATUSES:
+                self._stop_relaying()
+                relay_scope.cancel()
 
-        async def ask_round() -> None:
-            with round_about:
-                await ask(partial(self._send_round, request, timeout))
+        async def send_relayed() -> None:
+            with relay_scope:
+                await collect(partial(self._send_relayed, request, timeout))
 
-        round_about = trio.CancelScope()
-        ask_directly = partial(
-            self._direct.send, address, request, timeout=timeout, on_begun=end_detour
+        relay_scope = trio.CancelScope()
+        send_direct = partial(
+            self._direct.send, address, request, timeout=timeout, on_begun=stop_relaying
         )
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(ask, ask_directly)
-            nursery.start_soon(ask_round)
+            nursery.start_soon(collect, send_direct)
+            nursery.start_soon(send_relayed)
         if answers:
             return answers[-1]
-        self._take_detour(str(errors[0]))
+        self._start_relaying(str(errors[0]))
         raise errors[0]
 
-    def _end_detour(self) -> None:
+    def _stop_relaying(self) -> None:
         now = self._clock.elapsed()
-        if now < self._detour_until:
+        if now < self._relay_until:
             log_event("table:detour-over")
-        self._detour_until = now
+        self._relay_until = now
 
-    def _take_detour(self, reason: str) -> None:
+    def _start_relaying(self, reason: str) -> None:
         now = self._clock.elapsed()
-        if now >= self._detour_until:
-            log_event("table:detour", reason=reason, for_s=_DETOUR.total_seconds())
-        self._detour_until = now + _DETOUR
+        if now >= self._relay_until:
+            log_event(
+                "table:detour", reason=reason, for_s=_RELAY_DURATION.total_seconds()
+            )
+        self._relay_until = now + _RELAY_DURATION
 
-    async def _send_round(
+    async def _send_relayed(
         self, request: HttpRequest, timeout: timedelta
     ) -> HttpResponse | None:
-        """Send through an entry; None if it has certainly not been seen."""
+        """Send through an entry; return None if the table certainly did not get it."""
         relays = self._relays()
-        if not relays or self._clock.elapsed() < self._pause_until:
+        if not relays or self._clock.elapsed() < self._relay_paused_until:
             return None
         relay = self._random.choice(relays)
         message = RelayRequest(
@@ -227,21 +233,21 @@
         try:
             reply = await self._peers.call(relay, RELAY, message, timeout=timeout)
         except CommunicationError as error:
-            self._pause(str(error))
+            self._pause_relay(str(error))
             if error.is_unseen:
                 return None
             raise
         if reply.status == 0:
-            self._pause(f"{relay} got no answer")
+            self._pause_relay(f"relay {relay} got no response from the table")
             if reply.is_unseen:
                 return None
             raise CommunicationError(
-                step=Step.RECEIVE, peer=f"table by {relay}", detail="no answer"
+                step=Step.RECEIVE, peer=f"table through {relay}", detail="no response"
             )
-        if reply.status in _TURNED_AWAY:
-            self._pause(f"{relay} got status {reply.status}")
+        if reply.status in _REJECTED_STATUSES:
+            self._pause_relay(f"relay {relay} got status {reply.status} from the table")
         return HttpResponse(status=reply.status, body=reply.body)
 
-    def _pause(self, reason: str) -> None:
-        self._pause_until = self._clock.elapsed() + _PAUSE
+    def _pause_relay(self, reason: str) -> None:
+        self._relay_paused_until = self._clock.elapsed() + _RELAY_PAUSE
         log_event("table:detour-failed", reason=reason)
