--- a/coltsfoottray/entry/__init__.py
+++ b/coltsfoottray/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The HTTP face of an entry: callers, batch tasks and operators."""
+"""The HTTP API of an entry for callers, batch tasks and operators."""
 
 from __future__ import annotations
 
--- a/coltsfoottray/entry/api.py
+++ b/coltsfoottray/entry/api.py
@@ -1,4 +1,4 @@
-"""Which path goes to which part."""
+"""Routing of HTTP requests by path."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class EntryApi:
-    """Hands each request to the part that answers it."""
+    """Passes each request to the API that handles its path."""
 
     def __init__(
         self, *, callers: CallerApi, batch: BatchApi, operators: OperatorApi
@@ -21,16 +21,16 @@
         self._operators = operators
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one request."""
-        head = request.path.split("/")[1]
-        if head == "requests":
+        """Handle one request; return a not-found problem for an unknown path."""
+        prefix = request.path.split("/")[1]
+        if prefix == "requests":
             return await self._callers.handle(request)
-        if head == "tasks":
+        if prefix == "tasks":
             return await self._batch.handle(request)
-        if head in ("lists", "status", "explain", "health"):
+        if prefix in ("lists", "status", "explain", "health"):
             return await self._operators.handle(request)
         return Problem(
             outcome=Outcome.NOT_FOUND,
-            detail=f"no such path: {request.path}; there are /requests, /tasks, "
+            detail=f"no such path: {request.path}; available are /requests, /tasks, "
             "/lists, /status, /explain and /health",
         ).as_response()
--- a/coltsfoottray/entry/batch.py
+++ b/coltsfoottray/entry/batch.py
@@ -1,4 +1,4 @@
-"""Batch tasks as customers submit, ask about and cancel them."""
+"""Submission, status and cancellation of batch tasks."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class TaskAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """What a customer is told of a task."""
+    """The status of a task, as returned to its customer."""
 
     id: str
     state: str
@@ -48,7 +48,7 @@
 
 
 class BatchApi:
-    """Accepts tasks into the table, and answers about them from it."""
+    """Stores submitted tasks in the table, and reads their status from it."""
 
     def __init__(
         self,
@@ -64,16 +64,16 @@
         self._journal = journal
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer `POST /tasks`, `GET /tasks/ID` and `DELETE /tasks/ID`."""
+        """Handle `POST /tasks`, `GET /tasks/ID` and `DELETE /tasks/ID`."""
         customer = parse_customer(request)
-        parts = request.path.strip("/").split("/")
+        segments = request.path.strip("/").split("/")
         try:
-            if request.method == "POST" and len(parts) == 1:
+            if request.method == "POST" and len(segments) == 1:
                 return await self._submit(customer, request)
-            if request.method == "GET" and len(parts) == 2:
-                return await self._answer(customer, parts[1])
-            if request.method == "DELETE" and len(parts) == 2:
-                return await self._cancel(customer, parts[1])
+            if request.method == "GET" and len(segments) == 2:
+                return await self._get_task(customer, segments[1])
+            if request.method == "DELETE" and len(segments) == 2:
+                return await self._cancel(customer, segments[1])
         except TableUnavailable as error:
             return to_table_problem_response(error)
         raise InputError(
@@ -83,10 +83,10 @@
         )
 
     async def _submit(self, customer: CustomerId, request: HttpRequest) -> HttpResponse:
-        spec = _as_spec(customer, request.decode(TaskSubmission))
-        reason = self._refusal(spec)
+        spec = _make_spec(customer, request.decode(TaskSubmission))
+        reason = self._refusal_reason(spec)
         if reason is not None:
-            self._note(spec, Verb.REFUSE, "not accepted", reason)
+            self._record_decision(spec, Verb.REFUSE, "not accepted", reason)
             line = self._holder.current.line_of(customer)
             return Problem(
                 outcome=Outcome.FORBIDDEN, detail=f"not accepted: {reason}; {line}"
@@ -95,43 +95,51 @@
         if isinstance(outcome, Failure):
             return Problem(
                 outcome=Outcome.CONFLICT,
-                detail=f"id {spec.task!r} was accepted before for another task",
+                detail=f"id {spec.task!r} is already in use for a different task",
             ).as_response()
-        self._note(spec, Verb.ACCEPT, "queued", "within the plan")
+        self._record_decision(spec, Verb.ACCEPT, "queued", "within the plan")
         await self._owner.notify_owner(spec.customer, spec.task)
-        return HttpResponse.of_json(_as_answer(outcome.unwrap()), status=_ACCEPTED)
+        return HttpResponse.of_json(_make_answer(outcome.unwrap()), status=_ACCEPTED)
 
-    def _refusal(self, spec: TaskSpec) -> str | None:
-        """Return why `spec` could never run under the customer's plan."""
+    def _refusal_reason(self, spec: TaskSpec) -> str | None:
+        """Return why `spec` can never run under the customer's plan.
+
+        Returns
+        -------
+        str or None
+            None if the task fits in the plan's allowance.
+        """
         allowance = self._holder.current.allowance_of(spec.customer)
         if allowance is None:
             return "the customer has no plan"
         if not spec.demand.fits_in(allowance.resources):
-            return f"{spec.demand} is more than the plan allows at all"
+            return f"{spec.demand} exceeds the total allowance of the plan"
         return None
 
-    async def _answer(self, customer: CustomerId, task: str) -> HttpResponse:
+    async def _get_task(self, customer: CustomerId, task: str) -> HttpResponse:
         stored = await self._store.find(customer, TaskId(f"{customer}/{task}"))
         if stored is None:
-            return _not_found(task)
-        return HttpResponse.of_json(_as_answer(stored.row))
+            return _make_not_found_response(task)
+        return HttpResponse.of_json(_make_answer(stored.row))
 
     async def _cancel(self, customer: CustomerId, task: str) -> HttpResponse:
         task_id = TaskId(f"{customer}/{task}")
         while True:
             stored = await self._store.find(customer, task_id)
             if stored is None:
-                return _not_found(task)
+                return _make_not_found_response(task)
             if stored.row.state.is_final or await self._store.cancel(stored):
                 break
         await self._owner.notify_owner(customer, task_id)
-        return await self._answer(customer, task)
+        return await self._get_task(customer, task)
 
-    def _note(self, spec: TaskSpec, verb: Verb, choice: str, reason: str) -> None:
+    def _record_decision(
+        self, spec: TaskSpec, verb: Verb, choice: str, reason: str
+    ) -> None:
         self._journal.note(spec.task, spec.customer, verb, choice=choice, reason=reason)
 
 
-def _as_spec(customer: CustomerId, submission: TaskSubmission) -> TaskSpec:
+def _make_spec(customer: CustomerId, submission: TaskSubmission) -> TaskSpec:
     if not submission.id or "/" in submission.id:
         raise InputError(field="id", value=submission.id, expected="a name without /")
     for name in ("processors", "memory_gb", "runtime_s", "accelerators"):
@@ -154,7 +162,7 @@
     )
 
 
-def _as_answer(row: TaskRow) -> TaskAnswer:
+def _make_answer(row: TaskRow) -> TaskAnswer:
     return TaskAnswer(
         id=row.spec.task.partition("/")[2],
         state=row.state.value,
@@ -164,7 +172,7 @@
     )
 
 
-def _not_found(task: str) -> HttpResponse:
+def _make_not_found_response(task: str) -> HttpResponse:
     return Problem(
         outcome=Outcome.NOT_FOUND, detail=f"no task {task!r} of this customer"
     ).as_response()
--- a/coltsfoottray/entry/callers.py
+++ b/coltsfoottray/entry/callers.py
@@ -1,4 +1,4 @@
-"""Latency-critical requests as callers send them."""
+"""Handling of the latency-critical requests that callers send."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 
 __all__ = ["CallerApi", "parse_customer"]
 
-# Of no meaning beyond one connection, or ours alone: a caller must not set them.
+# Headers that apply to one connection only, or that entries and attendants use among
+# themselves. They are removed, so that a caller cannot set them.
 _DROPPED_HEADERS = frozenset(
     {
         "connection",
@@ -39,7 +40,13 @@
 
 
 def parse_customer(request: HttpRequest) -> CustomerId:
-    """Return who sent `request`."""
+    """Return the customer that sent `request`.
+
+    Raises
+    ------
+    InputError
+        If the header is missing or malformed.
+    """
     customer = request.header_by_name.get("x-customer", "")
     if not customer or "/" in customer:
         raise InputError(
@@ -49,7 +56,13 @@
 
 
 class CallerApi:
-    """Admits callers' requests and sees them to their final answer."""
+    """Admits callers' requests and returns their final answers.
+
+    Parameters
+    ----------
+    default_deadline : timedelta
+        Time allowed for a request without the `X-Deadline-Ms` header.
+    """
 
     def __init__(
         self,
@@ -69,19 +82,19 @@
         self._default_deadline = default_deadline
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer `POST /requests/KIND`."""
-        began = self._clock.elapsed()
-        caller_request = self._read(request)
+        """Handle `POST /requests/KIND`."""
+        started_at = self._clock.elapsed()
+        caller_request = self._parse_request(request)
         lists = self._holder.current
         if lists.allowance_of(caller_request.customer) is None:
-            return self._forbid(caller_request)
+            return self._refuse(caller_request)
         response = await self._dispatcher.dispatch(caller_request)
-        self._metrics.record(caller_request.kind, self._clock.elapsed() - began)
+        self._metrics.record(caller_request.kind, self._clock.elapsed() - started_at)
         return response
 
-    def _read(self, request: HttpRequest) -> CallerRequest:
-        parts = request.path.strip("/").split("/")
-        if request.method != "POST" or len(parts) != 2:
+    def _parse_request(self, request: HttpRequest) -> CallerRequest:
+        segments = request.path.strip("/").split("/")
+        if request.method != "POST" or len(segments) != 2:
             raise InputError(
                 field="request",
                 value=f"{request.method} {request.path}",
@@ -89,10 +102,10 @@
             )
         customer = parse_customer(request)
         return CallerRequest(
-            request=RequestId(f"{customer}/{_read_key(request)}"),
+            request=RequestId(f"{customer}/{_parse_key(request)}"),
             customer=customer,
-            kind=Kind(parts[1]),
-            deadline=self._clock.elapsed() + self._read_deadline(request),
+            kind=Kind(segments[1]),
+            deadline=self._clock.elapsed() + self._parse_deadline(request),
             header_by_name={
                 name: value
                 for name, value in request.header_by_name.items()
@@ -103,7 +116,7 @@
             is_idempotent=request.header_by_name.get("x-idempotent") != "false",
         )
 
-    def _read_deadline(self, request: HttpRequest) -> timedelta:
+    def _parse_deadline(self, request: HttpRequest) -> timedelta:
         text = request.header_by_name.get("x-deadline-ms")
         if text is None:
             return self._default_deadline
@@ -113,7 +126,7 @@
             )
         return timedelta(milliseconds=int(text))
 
-    def _forbid(self, request: CallerRequest) -> HttpResponse:
+    def _refuse(self, request: CallerRequest) -> HttpResponse:
         line = self._holder.current.line_of(request.customer)
         self._journal.note(
             request.request,
@@ -127,8 +140,11 @@
         ).as_response()
 
 
-def _read_key(request: HttpRequest) -> str:
-    """Return the caller's key, or a new one that cannot equal any caller's."""
+def _parse_key(request: HttpRequest) -> str:
+    """Return the idempotency key of `request`, or a generated one.
+
+    Generated keys start with `~`, which callers' keys must not, so they never collide.
+    """
     key = request.header_by_name.get("idempotency-key")
     if key is None:
         return f"~{secrets.token_hex(12)}"
--- a/coltsfoottray/entry/metrics.py
+++ b/coltsfoottray/entry/metrics.py
@@ -1,4 +1,4 @@
-"""Latency histograms by kind."""
+"""Latency histograms by kind of request."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 _LOWEST_US = 1
 _HIGHEST_US = 3_600_000_000
-_DIGITS = 2
+_SIGNIFICANT_DIGITS = 2
 
 
 class LatencySummary(msgspec.Struct, frozen=True, kw_only=True):
-    """Latencies of one kind, in milliseconds."""
+    """Latencies of one kind of request, in milliseconds."""
 
     count: int
     p50: float
@@ -25,21 +25,21 @@
 
 
 class LatencyMetrics:
-    """Records the time from a request's arrival to its final answer."""
+    """Records the time from the arrival of a request to its final answer."""
 
     def __init__(self) -> None:
         self._histogram_by_kind: dict[Kind, HdrHistogram] = {}
 
     def record(self, kind: Kind, duration: timedelta) -> None:
-        """Add one latency."""
+        """Record the latency of one request."""
         histogram = self._histogram_by_kind.get(kind)
         if histogram is None:
-            histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
+            histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _SIGNIFICANT_DIGITS)
             self._histogram_by_kind[kind] = histogram
         histogram.record_value(max(1, int(duration.total_seconds() * 1_000_000)))
 
     def summary(self) -> dict[Kind, LatencySummary]:
-        """Return the latencies by kind."""
+        """Return the summary of the latencies of each kind."""
         return {
             kind: LatencySummary(
                 count=histogram.get_total_count(),
--- a/coltsfoottray/entry/operators.py
+++ b/coltsfoottray/entry/operators.py
@@ -1,4 +1,4 @@
-"""What operators read, and the edits of the two lists."""
+"""Health, status and explanations for operators, and edits of the two lists."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class DaemonStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """One daemon as this entry knows it."""
+    """The status of one daemon, from its last announcement to this entry."""
 
     daemon: DaemonId
     role: Role
@@ -30,7 +30,7 @@
 
 
 class EntryStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """An entry's account of itself and of what it hears."""
+    """The status of an entry and of the daemons that announce to it."""
 
     entry: DaemonId
     lists_version: ListVersion
@@ -40,10 +40,10 @@
 
 
 class OperatorApi:
-    """Answers the command line, the outside monitor and the balancer.
+    """Serves the command line, the external monitor and the load balancer.
 
-    `/health` is good only while the entry may serve keyed requests: from its
-    joining the members until it drains.
+    `/health` returns status 200 only while the entry may serve keyed requests, which
+    is from the time it joins the claim members until it drains, and 503 otherwise.
     """
 
     def __init__(
@@ -69,22 +69,22 @@
         self.is_draining = False
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one operator's request."""
+        """Handle one request of an operator, monitor or load balancer."""
         path = request.path.strip("/")
         if path == "health":
-            is_good = self._members.is_joined and not self.is_draining
-            return HttpResponse(status=200 if is_good else 503)
+            is_healthy = self._members.is_joined and not self.is_draining
+            return HttpResponse(status=200 if is_healthy else 503)
         if path == "status":
-            return HttpResponse.of_json(self._status())
+            return HttpResponse.of_json(self._make_entry_status())
         if path.startswith("explain/"):
             subject = path.removeprefix("explain/")
             return HttpResponse.of_json(self._journal.explain(subject))
         try:
-            return await self._lists(path, request)
+            return await self._handle_lists(path, request)
         except TableUnavailable as error:
             return to_table_problem_response(error)
 
-    async def _lists(self, path: str, request: HttpRequest) -> HttpResponse:
+    async def _handle_lists(self, path: str, request: HttpRequest) -> HttpResponse:
         if path == "lists/history":
             return HttpResponse.of_json(await self._editor.history())
         if path == "lists" and request.method == "GET":
@@ -105,7 +105,7 @@
             ).as_response()
         return HttpResponse.of_json(outcome.unwrap())
 
-    def _status(self) -> EntryStatus:
+    def _make_entry_status(self) -> EntryStatus:
         members = [member for role in Role for member in self._registry.members(role)]
         return EntryStatus(
             entry=self._entry,
@@ -113,12 +113,12 @@
             entry_addresses=sorted(
                 record.http for record in self._directory.record_by_id.values()
             ),
-            daemons=[_as_status(member) for member in members],
+            daemons=[_make_daemon_status(member) for member in members],
             latency_ms=self._metrics.summary(),
         )
 
 
-def _as_status(member: Member) -> DaemonStatus:
+def _make_daemon_status(member: Member) -> DaemonStatus:
     announcement = member.announcement
     return DaemonStatus(
         daemon=announcement.daemon,
--- a/coltsfoottray/entry/problems.py
+++ b/coltsfoottray/entry/problems.py
@@ -1,4 +1,4 @@
-"""Answers that several parts of the entry's HTTP face give."""
+"""Problem responses that several parts of the entry's HTTP API return."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 def to_table_problem_response(error: TableUnavailable) -> HttpResponse:
-    """Say truthfully whether anything was written.
+    """Return a problem that states whether the table may have been written.
 
-    The same submission, or the same edit with its token, may be sent again.
+    The caller may repeat the same submission, or the same edit with its token.
     """
     outcome = Outcome.NOT_RUN if error.is_unwritten else Outcome.UNKNOWN
     return Problem(
