--- a/coltsfoottray/daemons/__init__.py
+++ b/coltsfoottray/daemons/__init__.py
@@ -1,4 +1,4 @@
-"""The daemons: each wires the library's parts by name and runs them."""
+"""The daemons, each of which connects its services by name and runs them."""
 
 from __future__ import annotations
 
--- a/coltsfoottray/daemons/attendant.py
+++ b/coltsfoottray/daemons/attendant.py
@@ -1,4 +1,4 @@
-"""What the attendants of upstreams and of workers share."""
+"""Base class of the daemons of upstream and worker attendants."""
 
 from __future__ import annotations
 
@@ -13,10 +13,13 @@
 
 
 class AttendantDaemon(Daemon):
-    """Finds the entries and announces itself to each of them."""
+    """A daemon that discovers the entries and announces itself to each of them."""
 
     def register_membership(self) -> None:
-        """Register what is started after the servers."""
+        """Register the entry directory and the announcer.
+
+        They must start after the servers, whose addresses they announce.
+        """
         timing = self.settings.timing
         self.directory = EntryDirectory(
             table=self.table,
--- a/coltsfoottray/daemons/common.py
+++ b/coltsfoottray/daemons/common.py
@@ -1,4 +1,4 @@
-"""What every daemon is made of."""
+"""Base class of the entry and attendant daemons."""
 
 from __future__ import annotations
 
@@ -48,14 +48,14 @@
 
 
 class Daemon(abc.ABC):
-    """One process: its kernel, its identity and its graceful end.
+    """One process with its kernel, its identity and its graceful shutdown.
 
     Parameters
     ----------
     settings : DaemonSettings
         The daemon's settings.
     kernel : Kernel, optional
-        Holds the parts that a test has put in place of the usual ones.
+        Holds the services with which a test replaces the usual ones.
     """
 
     role: Role
@@ -100,10 +100,10 @@
 
     @abc.abstractmethod
     async def shut_down(self) -> None:
-        """Take nothing new, finish what is in flight, and end `run`."""
+        """Accept no new work, finish what is in flight, and end `run`."""
 
     def describe(self) -> Announcement:
-        """Return the daemon's announcement as of now."""
+        """Return the current announcement of the daemon."""
         http = self.kernel.find(HTTP_SERVER, Listener).bound
         peers = self.kernel.find(PEER_SERVER, Listener).bound
         return Announcement(
@@ -119,7 +119,7 @@
         )
 
     def register_servers(self, handler: Handler) -> None:
-        """Register both servers; all handlers must have been added."""
+        """Register the HTTP and peer servers, after all handlers have been added."""
         factory = self.kernel.find(LISTENERS, ListenerFactory)
         http = factory.http(self.settings.http, handler)
         self.kernel.register(HTTP_SERVER, http)
--- a/coltsfoottray/daemons/entry.py
+++ b/coltsfoottray/daemons/entry.py
@@ -56,7 +56,7 @@
 
 
 class EntryDaemon(Daemon):
-    """Admits, routes and places; every entry is alike and none is special."""
+    """Admits and routes requests and places tasks; all entries are equivalent."""
 
     role = Role.ENTRY
 
@@ -66,7 +66,7 @@
         super().__init__(settings=settings, kernel=kernel)
         self.entry_settings = settings
         self.entry_id = EntryId(self.daemon_id)
-        self._register_parts()
+        self._register_base_services()
         self._make_claims()
         self.operators = self._make_operators()
         api = EntryApi(
@@ -75,17 +75,17 @@
             operators=self.operators,
         )
         self.register_servers(api.handle)
-        self._register_leases()
+        self._register_background_services()
 
     async def shut_down(self) -> None:
-        """Turn bad for the balancer, finish what is in flight, and leave."""
+        """Fail the health check, finish what is in flight, and stop."""
         self.is_draining = self.operators.is_draining = True
         with trio.move_on_after(self.settings.timing.drain_s):
             await self.kernel.find(HTTP_SERVER, Listener).stop()
         await self.kernel.stop()
 
     def record(self) -> EntryRecord:
-        """Return the entry's row."""
+        """Return the row that describes this entry in the table."""
         announcement = self.describe()
         return EntryRecord(
             entry=self.entry_id,
@@ -94,7 +94,7 @@
             peers=announcement.peers,
         )
 
-    def _register_parts(self) -> None:
+    def _register_base_services(self) -> None:
         timing = self.settings.timing
         self.journal = Journal(
             clock=self.clock, daemon=self.settings.name, holder=self.holder
@@ -110,7 +110,8 @@
         )
         self.kernel.register(REGISTRY, self.registry)
         self.handlers.add(WATCH, self.registry.watch)
-        # Fed by the entry lease, which reads the rows anyway; not started.
+        # Not started as a service: the entry lease, which reads the rows for its own
+        # purposes, updates it.
         self.directory = EntryDirectory(
             table=self.table,
             clock=self.clock,
@@ -120,7 +121,7 @@
         self.store = TaskStore(table=self.table, clock=self.clock)
         self.kernel.register(STORE, self.store)
 
-    def _register_leases(self) -> None:
+    def _register_background_services(self) -> None:
         timing = self.settings.timing
         self.kernel.register(
             LIST_FOLLOWER,
@@ -153,14 +154,14 @@
                 skip=self.entry_id,
             ),
         )
-        for name, part in (
+        for name, service in (
             (CLAIM_MEMBERS, self.claim_members),
             (CLAIMS, self.claims),
-            (LOST_WORKERS, self.lost),
+            (LOST_WORKERS, self.lost_workers),
             (OWNERSHIP, self.ownership),
             (QUEUE_OWNER, self.queue_owner),
         ):
-            self.kernel.register(name, part)
+            self.kernel.register(name, service)
 
     def _make_claims(self) -> None:
         retention = self.settings.timing.retention
@@ -235,7 +236,7 @@
         self.views = WorkerViews(
             registry=self.registry, policy=policy, clock=self.clock
         )
-        self.lost = LostWorkerDetector(
+        self.lost_workers = LostWorkerDetector(
             table=self.table, clock=self.clock, lease=timing.lease
         )
         self.ownership = PartitionOwnership(
@@ -259,7 +260,7 @@
             store=self.store,
             views=self.views,
             placer=placer,
-            lost_workers=self.lost,
+            lost_workers=self.lost_workers,
             peers=self.peers,
             objects=self.objects,
             journal=self.journal,
--- a/coltsfoottray/daemons/job_attendant.py
+++ b/coltsfoottray/daemons/job_attendant.py
@@ -1,4 +1,4 @@
-"""An attendant beside a worker that runs jobs' tasks."""
+"""The daemon of an attendant whose worker runs tasks of jobs."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 _ATTENDANT = ServiceName("attendant")
 _REPORTER = ServiceName("reporter")
 _HEARTBEATS = ServiceName("heartbeats")
-_LAST_REPORT_S = 0.5
+_STOP_TIMEOUT_S = 0.5
 
 
 class JobAttendantDaemon(JobDaemon):
-    """Owns the parts of one attendant."""
+    """Creates and runs the services of one attendant."""
 
     role = Role.WORKER
 
@@ -63,21 +63,21 @@
         self.register_member()
 
     async def shut_down(self) -> None:
-        """End soon: the worker's lease outlasts a restart."""
+        """Stop without draining, because the worker's lease outlasts a restart."""
         log_event("daemon:shutdown", name=self.name)
-        with trio.move_on_after(_LAST_REPORT_S):
+        with trio.move_on_after(_STOP_TIMEOUT_S):
             await self.kernel.stop()
         self.kernel.cancel()
 
     async def _find_entries(self) -> list[Address]:
-        """Return who may be the scheduler, the likeliest first."""
-        named: list[Address] = []
+        """Return the addresses of entries, the most likely scheduler first."""
+        holder_addresses: list[Address] = []
         try:
             row = await self.table.get(LEASE_KEY)
             if row is not None:
-                named.append(row.decode(LeaseRow).address)
+                holder_addresses.append(row.decode(LeaseRow).address)
         except TableUnavailable as error:
             log_event("table:unavailable", reason=str(error))
         others = self.members.entries()
         self.random.shuffle(others)
-        return list(dict.fromkeys([*named, *others]))
+        return list(dict.fromkeys([*holder_addresses, *others]))
--- a/coltsfoottray/daemons/job_common.py
+++ b/coltsfoottray/daemons/job_common.py
@@ -1,4 +1,4 @@
-"""What the daemons for jobs have in common."""
+"""Base class of the daemons for jobs."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
 
 
 class JobDaemon(abc.ABC):
-    """One process of the jobs' path: its kernel, its identity, its end.
+    """One process for jobs, with its kernel, its identity and its shutdown.
 
     Parameters
     ----------
     kernel : Kernel, optional
-        Holds the parts that a test has put in place of the usual ones.
+        Holds the services with which a test replaces the usual ones.
     """
 
     role: Role
@@ -72,7 +72,7 @@
                 for seed in settings.seeds
             ],
         )
-        round_about = RelayTransport(
+        relay_transport = RelayTransport(
             direct=self.transport,
             peers=self.peers,
             relays=self.members.entries,
@@ -81,7 +81,7 @@
         )
         table = MetadataTable(
             address=settings.table,
-            transport=round_about,
+            transport=relay_transport,
             clock=self.clock,
             metrics=self.metrics,
         )
@@ -108,22 +108,22 @@
 
     @abc.abstractmethod
     async def shut_down(self) -> None:
-        """Take nothing new, finish what is in flight, and end `run`."""
+        """Accept no new work, finish what is in flight, and end `run`."""
 
     def register_peer_server(self) -> None:
-        """Register the server of peer calls; all handlers must have been added."""
+        """Register the server of peer calls, after all handlers have been added."""
         handler = HttpPeerHandler(handlers=self.handlers)
         server = self.listeners.http(self.address, handler.handle)
         self.kernel.register(PEER_SERVER, server)
 
     def register_metrics(self) -> None:
-        """Register the server of metrics, where the settings name an address."""
+        """Register the metrics server if the settings give its address."""
         if self._metrics_address is not None:
             server = self.listeners.http(self._metrics_address, self.metrics.handle)
             self.kernel.register(_METRICS_SERVER, server)
 
     def register_member(self) -> None:
-        """Register the service that makes this daemon known to the others."""
+        """Register the service that writes the member row of this daemon."""
         member = MemberRow(
             name=self.name,
             role=self.role,
--- a/coltsfoottray/daemons/job_entry.py
+++ b/coltsfoottray/daemons/job_entry.py
@@ -1,4 +1,4 @@
-"""An entry: accepts jobs, answers for them, and schedules when it is its turn."""
+"""The entry daemon for jobs, which also schedules while it holds the lease."""
 
 from __future__ import annotations
 
@@ -45,22 +45,24 @@
 _READINESS = ServiceName("readiness")
 _BACKGROUND = ServiceName("background")
 
-# The scheduler is told of jobs directly, so that this only bounds how old another
-# entry's answers are, and how late news that was not told arrives.
-_JOBS_PAUSE = timedelta(milliseconds=300)
-# A config is to be in force within seconds of its confirmation.
-_CONFIG_PAUSE = timedelta(milliseconds=100)
+# Entries notify the scheduler of jobs directly. This interval therefore bounds only
+# how old the answers of other entries are, and how late a change without a
+# notification arrives.
+_JOBS_POLL_INTERVAL = timedelta(milliseconds=300)
+# A configuration must be in force within seconds of its confirmation.
+_CONFIG_POLL_INTERVAL = timedelta(milliseconds=100)
 
-# Copies older than this cannot tell callers the truth any more.
-_MAX_AGE = timedelta(seconds=4)
+# With older copies of the rows, answers to callers may be wrong, so the entry is not
+# ready.
+_MAX_COPY_AGE = timedelta(seconds=4)
 
-# The balancer asks once a second and reacts to the second refusal.
-_DRAIN = timedelta(seconds=3)
-_LAST_ANSWERS = timedelta(seconds=1)
+# The load balancer checks readiness once a second and reacts to the second failure.
+_DRAIN_TIME = timedelta(seconds=3)
+_LAST_ANSWERS_TIMEOUT = timedelta(seconds=1)
 
 
 class JobEntryDaemon(JobDaemon):
-    """Owns the parts of one entry."""
+    """Creates and runs the services of one entry."""
 
     role = Role.ENTRY
 
@@ -72,7 +74,7 @@
         self.holder = ConfigHolder()
         self.view = JobsView()
         self._is_draining = False
-        self._watch = LeaseWatch(
+        self._lease_watch = LeaseWatch(
             name=settings.name,
             incarnation=self.incarnation,
             peers=self.peers,
@@ -82,19 +84,19 @@
             table=self.table,
             group=OPERATOR_GROUP,
             prefixes=[f"{OPERATOR_GROUP}//"],
-            on_row=self._take_operator_row,
+            on_row=self._apply_operator_row,
             clock=self.clock,
             metrics=self.metrics,
-            pause=_CONFIG_PAUSE,
+            pause=_CONFIG_POLL_INTERVAL,
         )
         self._jobs_mirror = Mirror(
             table=self.table,
             group=JOBS_GROUP,
             prefixes=job_shard_prefixes(),
-            on_row=self._take_job_row,
+            on_row=self._apply_job_row,
             clock=self.clock,
             metrics=self.metrics,
-            pause=_JOBS_PAUSE,
+            pause=_JOBS_POLL_INTERVAL,
         )
         self.scheduler = Scheduler(
             name=settings.name,
@@ -102,7 +104,7 @@
             address=settings.peers,
             table=self.table,
             mirror=self._jobs_mirror,
-            watch=self._watch,
+            watch=self._lease_watch,
             peers=self.peers,
             holder=self.holder,
             clock=self.clock,
@@ -114,7 +116,7 @@
         self.scheduler.add_handlers(self.handlers)
         relay = Relay(table=settings.table, transport=self.transport)
         self.handlers.add(RELAY, relay.handle)
-        self._background = Background()
+        self._background_tasks = BackgroundTasks()
         job_api = JobApi(
             table=self.table,
             mirror=self._jobs_mirror,
@@ -124,7 +126,7 @@
             metrics=self.metrics,
         )
         ingress = JobIngress(
-            holder=self.holder, job_api=job_api, spawn=self._background.spawn
+            holder=self.holder, job_api=job_api, spawn=self._background_tasks.spawn
         )
         self._register_services(settings, ingress)
 
@@ -136,11 +138,11 @@
     def _register_services(
         self, settings: JobEntrySettings, ingress: JobIngress
     ) -> None:
-        self.kernel.register(_BACKGROUND, self._background)
+        self.kernel.register(_BACKGROUND, self._background_tasks)
         self.register_peer_server()
         callers = self.listeners.http(settings.callers, ingress.handle)
         self.kernel.register(HTTP_SERVER, callers)
-        readiness = self.listeners.http(settings.readiness, self._answer_readiness)
+        readiness = self.listeners.http(settings.readiness, self._handle_readiness)
         self.kernel.register(_READINESS, readiness)
         self.kernel.register(_CONFIG_MIRROR, self._config_mirror)
         self.kernel.register(_JOBS_MIRROR, self._jobs_mirror)
@@ -149,30 +151,34 @@
         self.register_member()
 
     async def shut_down(self) -> None:
-        """Hand scheduling over, let the balancer turn away, answer the last."""
+        """Resign as scheduler, wait for the load balancer, and finish open requests."""
         log_event("daemon:shutdown", name=self.name)
         self._is_draining = True
         await self.scheduler.stop()
         grace = timedelta(seconds=self.settings.grace_s)
-        await self.clock.sleep(min(_DRAIN, grace / 2))
-        with trio.move_on_after(_LAST_ANSWERS.total_seconds()):
+        await self.clock.sleep(min(_DRAIN_TIME, grace / 2))
+        with trio.move_on_after(_LAST_ANSWERS_TIMEOUT.total_seconds()):
             await self.kernel.stop()
         self.kernel.cancel()
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers are served well here."""
+        """Whether the entry should receive callers' requests.
+
+        That is so if it is not draining, has a configuration, and its copies of the
+        configuration and of the jobs are recent.
+        """
         return (
             not self._is_draining
             and self.holder.current.version > 0
-            and self._jobs_mirror.age() < _MAX_AGE
-            and self._config_mirror.age() < _MAX_AGE
+            and self._jobs_mirror.age() < _MAX_COPY_AGE
+            and self._config_mirror.age() < _MAX_COPY_AGE
         )
 
-    async def _answer_readiness(self, request: HttpRequest) -> HttpResponse:
+    async def _handle_readiness(self, request: HttpRequest) -> HttpResponse:
         return HttpResponse(status=200 if self.is_ready else 503)
 
-    def _take_operator_row(self, row: Row) -> None:
+    def _apply_operator_row(self, row: Row) -> None:
         if row.key != CONFIG_KEY or row.is_deleted:
             return
         config = parse_config(row.value)
@@ -189,10 +195,10 @@
             )
             self.scheduler.replan()
 
-    def _take_job_row(self, row: Row) -> None:
+    def _apply_job_row(self, row: Row) -> None:
         if row.key == LEASE_KEY:
             if not row.is_deleted:
-                self._watch.observe(row.decode(LeaseRow), row.version)
+                self._lease_watch.observe(row.decode(LeaseRow), row.version)
             return
         self.view.apply(row)
         if row.is_deleted or is_scheduler_key(row.key):
@@ -204,8 +210,8 @@
             self.scheduler.observe_accepted(self.view.job_by_id[job_id])
 
 
-class Background(Service):
-    """Runs what need not be waited for."""
+class BackgroundTasks(Service):
+    """Runs functions whose callers do not wait for them."""
 
     def __init__(self) -> None:
         self._nursery: trio.Nursery | None = None
--- a/coltsfoottray/daemons/listeners.py
+++ b/coltsfoottray/daemons/listeners.py
@@ -1,4 +1,4 @@
-"""Where a daemon is reached: sockets, or whatever a test puts in their place."""
+"""Factories for the servers of a daemon, which tests can replace."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class ListenerFactory(abc.ABC):
-    """Makes the two servers of a daemon."""
+    """Creates the HTTP and peer servers of a daemon."""
 
     @abc.abstractmethod
     def http(self, address: Address, handler: Handler) -> Listener:
-        """Return a server of callers' and entries' HTTP."""
+        """Return an HTTP server on `address`."""
 
     @abc.abstractmethod
     def peers(self, address: Address, handlers: CallHandlers) -> Listener:
-        """Return a server of peer calls."""
+        """Return a server of peer calls on `address`."""
 
 
 class SocketListeners(ListenerFactory):
-    """TCP sockets."""
+    """Creates servers on TCP sockets."""
 
     def http(self, address: Address, handler: Handler) -> Listener:  # noqa: D102
         return HttpServer(address=address, handler=handler)
--- a/coltsfoottray/daemons/upstream.py
+++ b/coltsfoottray/daemons/upstream.py
@@ -1,4 +1,4 @@
-"""The attendant daemon beside an upstream."""
+"""The daemon of an upstream's attendant."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class UpstreamDaemon(AttendantDaemon):
-    """Announces one upstream instance and judges what starts there."""
+    """Announces one upstream instance and admits the requests that it runs."""
 
     role = Role.UPSTREAM
 
@@ -49,7 +49,7 @@
         self.register_membership()
 
     async def shut_down(self) -> None:
-        """Refuse and announce at once, finish what is in flight, and leave."""
+        """Refuse new requests and announce that, finish those in flight, and stop."""
         self.is_draining = self.attendant.is_draining = True
         await self.announcer.announce_now()
         with trio.move_on_after(self.settings.timing.drain_s):
--- a/coltsfoottray/daemons/worker.py
+++ b/coltsfoottray/daemons/worker.py
@@ -1,4 +1,4 @@
-"""The attendant daemon beside a worker."""
+"""The daemon of a worker's attendant."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class WorkerDaemon(AttendantDaemon):
-    """Announces one worker and judges what its VM is committed to."""
+    """Announces one worker and admits the attempts that its VM runs."""
 
     role = Role.WORKER
 
@@ -62,13 +62,13 @@
             on_change=self._announce,
         )
         self.attendant.add_handlers(self.handlers)
-        self.register_servers(_not_served)
+        self.register_servers(_respond_not_found)
         self.kernel.register(LEASE, self.lease)
         self.kernel.register(ATTENDANT, self.attendant)
         self.register_membership()
 
     async def shut_down(self) -> None:
-        """Take nothing new, wait for running attempts, and leave."""
+        """Accept no new attempts, wait for running ones, and stop."""
         self.is_draining = True
         await self.announcer.announce_now()
         with trio.move_on_after(self.settings.timing.drain_s):
@@ -84,5 +84,5 @@
         await self.announcer.announce_now()
 
 
-async def _not_served(request: HttpRequest) -> HttpResponse:
+async def _respond_not_found(request: HttpRequest) -> HttpResponse:
     return HttpResponse(status=404)
