--- a/tests/steps/channel_steps.py
+++ b/tests/steps/channel_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the channels of gRPC calls, over real connections."""
+"""Steps on the channels of gRPC calls, over TCP connections."""
 
 from __future__ import annotations
 
@@ -18,24 +18,26 @@
 from coltsfoottray.types import Address
 
 
-class _Ask(msgspec.Struct, frozen=True):
+class _EchoMessage(msgspec.Struct, frozen=True):
     text: str
 
 
-_ECHO = Call(name="Echo", request_type=_Ask, reply_type=_Ask)
+_ECHO = Call(name="Echo", request_type=_EchoMessage, reply_type=_EchoMessage)
 _ANY_PORT = Address(host="127.0.0.1", port=0)
 
 
 @given("a peer to which the first connection takes {seconds:d} s")
-def plan_connection(context, seconds):
-    context.first_s = seconds
+def delay_first_connection(context, seconds):
+    context.first_connection_s = seconds
 
 
-@when("a call that waits {first:d} ms and one that waits {second:d} s are made at once")
+@when(
+    "a call with a timeout of {first:d} ms and one with {second:d} s are made at once"
+)
 def call_twice(context, first, second):
     timeouts = [timedelta(milliseconds=first), timedelta(seconds=second)]
     connect = Channel._create_connection
-    delays = [context.first_s]
+    delays = [context.first_connection_s]
     opened = []
 
     async def connect_slowly(channel):
@@ -54,12 +56,12 @@
 def check_answers(context):
     failed, answered = context.answers
     assert isinstance(failed, CommunicationError), failed
-    assert answered == _Ask("b"), answered
+    assert answered == _EchoMessage("b"), answered
 
 
-@then("the caller runs on, with no connection left open")
-def check_alive(context):
-    # It has, or `trio.run` would have raised what ended it.
+@then("the process keeps running, with no connection left open")
+def check_still_running(context):
+    # An error that ends the process would already have been raised by `trio.run`.
     assert context.opened
     assert all(each.handler.connection_lost for each in context.opened)
 
@@ -74,7 +76,7 @@
     async def call(number, text, timeout):
         try:
             answers[number] = await client.call(
-                server.bound, _ECHO, _Ask(text), timeout=timeout
+                server.bound, _ECHO, _EchoMessage(text), timeout=timeout
             )
         except CommunicationError as error:
             answers[number] = error
@@ -86,7 +88,7 @@
             for number, (text, timeout) in enumerate(zip("ab", timeouts, strict=True)):
                 calls.start_soon(call, number, text, timeout)
         gc.collect()
-        # What a collected connection raises is raised in a task of its own.
+        # A garbage-collected connection raises its error in a task of its own.
         await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
     return answers
--- a/tests/steps/drain_steps.py
+++ b/tests/steps/drain_steps.py
@@ -1,4 +1,4 @@
-"""Steps on graceful shutdown and silent connections."""
+"""Steps on graceful shutdown and on connections that stop transmitting."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 from coltsfoottray.types import Role
 
 
-@when("every connection that {who} opened goes silent")
-def silence(context, who):
+@when("every connection that {who} opened stops transmitting")
+def stop_transmission(context, who):
     context.world.fabric.silence_links(who)
 
 
 @then("entry-1 and entry-2 know {count:d} instances")
-def check_known(context, count):
-    async def read():
+def check_known_instances(context, count):
+    async def count_known():
         entries = context.world.cell.entry_by_name.values()
         return [len(entry.registry.members(Role.UPSTREAM)) for entry in entries]
 
-    known = context.world.run(read)
+    known = context.world.run(count_known)
     assert known == [count, count], known
 
 
-@given("entry-1 hears nothing from instance-01")
-def deafen(context):
+@given("entry-1 gets no announcements from instance-01")
+def stop_announcing(context):
     cell = context.world.cell
     instance = cell.upstream_by_name["instance-01"]
     instance.directory.record_by_id.pop("entry-1")
 
 
 @when("instance-01 is told to drain")
-def tell_drain(context):
+def start_drain(context):
     async def drain():
         instance = context.world.cell.upstream_by_name["instance-01"]
         instance.is_draining = instance.attendant.is_draining = True
@@ -57,27 +57,27 @@
     context.world.spawn(daemon.shut_down)
 
 
-@when("the runs of instance-01 are noted")
-def note_runs(context):
+@when("the runs of instance-01 are recorded")
+def record_runs(context):
     runs = context.world.cell.observer.runs_by_instance
-    context.noted = runs["instance-01"]
+    context.recorded_runs = runs["instance-01"]
 
 
-@then("instance-01 has begun no run since")
+@then("instance-01 has started no run since")
 def check_no_runs(context):
     runs = context.world.cell.observer.runs_by_instance["instance-01"]
-    assert runs == context.noted, (runs, context.noted)
+    assert runs == context.recorded_runs, (runs, context.recorded_runs)
 
 
-@then("instance-01 has gone")
-def check_gone(context):
+@then("instance-01 no longer listens")
+def check_stopped(context):
     world = context.world
     address = world.cell.upstream_by_name["instance-01"].describe().http
     world.wait_until(lambda: address not in world.fabric.listener_by_address)
 
 
 @then("every caller gets the whole answer to its own key")
-def check_all(context):
+def check_all_answers(context):
     for key in context.keys:
         answer = context.world.answer(key)
         expected = f"answer to arolwg/{key}: {key}".encode()
--- a/tests/steps/process_steps.py
+++ b/tests/steps/process_steps.py
@@ -1,4 +1,4 @@
-"""Steps on real processes."""
+"""Steps on daemons that run as separate processes."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     for number in (1, 2):
         launcher.wait_until(
             f"entry-{number} knows all daemons",
-            lambda number=number: len(_daemons(launcher, f"entry-{number}")) >= 4,
+            lambda number=number: len(_known_daemons(launcher, f"entry-{number}")) >= 4,
         )
         launcher.wait_until(
             f"entry-{number} is healthy",
@@ -45,8 +45,8 @@
     _edit(context, "plans", f"{{{customer}: {plan}}}")
 
 
-@when('the operator takes the plan of customer "{customer}" away')
-def take_plan(context, customer):
+@when('the operator removes the plan of customer "{customer}"')
+def remove_plan(context, customer):
     _edit(context, "plans", f"{{{customer}: null}}")
 
 
@@ -55,10 +55,10 @@
     launcher = context.launcher
     for entry in ("entry-1", "entry-2"):
         launcher.wait_until(
-            f"version {version} everywhere, as {entry} tells",
+            f"all daemons have version {version} according to {entry}",
             lambda entry=entry: all(
                 daemon["lists_version"] == version
-                for daemon in _daemons(launcher, entry)
+                for daemon in _known_daemons(launcher, entry)
             ),
         )
 
@@ -66,7 +66,7 @@
 @when('"{customer}" sends quote-check "{key}" to {entry}')
 def send_request(context, customer, key, entry):
     headers = {"X-Customer": customer, "Idempotency-Key": key}
-    context.answer = context.launcher.ask(
+    context.answer = context.launcher.send(
         entry, "POST", "/requests/quote-check", headers, f"price of {key}".encode()
     )
 
@@ -79,7 +79,7 @@
     )
 
 
-@then('the answer is {status:d} and names "{text}"')
+@then('the answer is {status:d} and contains "{text}"')
 def check_refusal(context, status, text):
     assert context.answer is not None, "no answer"
     assert context.answer.status == status, context.answer
@@ -90,16 +90,16 @@
 def submit_task(context, customer, task, entry):
     body = {"id": task, "kind": "basket-rebuild", "processors": 2, "memory_gb": 4}
     body["runtime_s"] = 0.3
-    answer = context.launcher.ask(
+    answer = context.launcher.send(
         entry, "POST", "/tasks", {"X-Customer": customer}, json.dumps(body).encode()
     )
     assert answer is not None and answer.status == 202, answer
 
 
-@then('the task "{task}" of "{customer}" is finished, as {entry} tells')
+@then('the task "{task}" of "{customer}" is finished according to {entry}')
 def check_task(context, task, customer, entry):
     def is_finished():
-        answer = context.launcher.ask(
+        answer = context.launcher.send(
             entry, "GET", f"/tasks/{task}", {"X-Customer": customer}, b""
         )
         return answer is not None and json.loads(answer.body)["state"] == "finished"
@@ -124,13 +124,13 @@
     context.launcher.kill(second)
 
 
-def _daemons(launcher, entry):
-    answer = launcher.ask(entry, "GET", "/status", {}, b"")
+def _known_daemons(launcher, entry):
+    answer = launcher.send(entry, "GET", "/status", {}, b"")
     return [] if answer is None else json.loads(answer.body)["daemons"]
 
 
 def _is_healthy(launcher, entry):
-    answer = launcher.ask(entry, "GET", "/health", {}, b"")
+    answer = launcher.send(entry, "GET", "/health", {}, b"")
     return answer is not None and answer.status == 200
 
 
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -1,4 +1,4 @@
-"""Starting and killing real processes, for tests only."""
+"""Starts and kills separate processes for tests."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 __all__ = ["Answer", "Launcher"]
 
-# Reached only when something hangs; nothing is ever asserted about time.
-HANG_S = 60.0
-_POLL_S = 0.05
+# Reached only if a process hangs; no test asserts how long anything takes.
+TIMEOUT_S = 60.0
+_POLL_INTERVAL_S = 0.05
 
 
 @dataclass(frozen=True, kw_only=True)
 class Answer:
-    """What an HTTP server said."""
+    """The response of an HTTP server."""
 
     status: int
     body: str
@@ -32,7 +32,7 @@
 
 @dataclass(kw_only=True)
 class Launcher:
-    """Processes by name, and the ports they were given."""
+    """The processes by name, with the ports assigned to them."""
 
     process_by_name: dict[str, subprocess.Popen[bytes]] = field(default_factory=dict)
     port_by_name: dict[str, int] = field(default_factory=dict)
@@ -40,23 +40,23 @@
 
     def start_stand_in(self, kind: str, name: str) -> None:
         """Start a stand-in of `kind` as `name`."""
-        port = self._take_port(name)
+        port = self._reserve_port(name)
         self._start(name, ["standins.serve", kind, str(port)])
 
     def start_daemon(self, name: str, settings: dict[str, object]) -> None:
-        """Start a daemon with `settings`, adding its addresses."""
+        """Start a daemon with `settings`, completed with addresses and timing."""
         complete = {
             "name": name,
             "data_centre": "caerdydd",
-            "http": f"127.0.0.1:{self._take_port(name)}",
-            "peers": f"127.0.0.1:{self._take_port(name + '/peers')}",
+            "http": f"127.0.0.1:{self._reserve_port(name)}",
+            "peers": f"127.0.0.1:{self._reserve_port(name + '/peers')}",
             "table": f"127.0.0.1:{self.port_by_name['table']}",
             "objects": f"127.0.0.1:{self.port_by_name['table']}",
             "timing": {"lease_s": 3, "hold_s": 1, "silence_s": 3, "report_s": 0.25},
             **settings,
         }
         if settings["role"] == "entry":
-            port = self._take_port(name + "/claims")
+            port = self._reserve_port(name + "/claims")
             complete["claims"] = f"127.0.0.1:{port}"
         path = self.folder / f"{name}.yaml"
         path.write_text(yaml.safe_dump(complete))
@@ -66,35 +66,35 @@
         self._start(name, [module, command, str(path), "--log-file", log])
 
     def run_cli(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run one command to its end."""
+        """Run one command of the CLI and return its result."""
         return subprocess.run(
             [sys.executable, "-m", "coltsfoottray.cli.main", *arguments],
             capture_output=True,
             text=True,
-            timeout=HANG_S,
+            timeout=TIMEOUT_S,
             check=False,
         )
 
     def kill(self, name: str) -> None:
-        """Kill one process by its id, as a crash would."""
+        """Kill one process without a graceful shutdown, as in a crash."""
         process = self.process_by_name.pop(name)
         process.kill()
         process.wait()
 
     def close(self) -> None:
-        """Kill everything that is left."""
+        """Kill all remaining processes."""
         for name in list(self.process_by_name):
             self.kill(name)
 
-    def ask(
+    def send(
         self, name: str, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Answer | None:
-        """Send one request; None where no answer came."""
+        """Send one request; return None if no response arrives."""
         url = f"http://127.0.0.1:{self.port_by_name[name]}{path}"
         data = body if method == "POST" else None
         request = urllib.request.Request(url, data, headers, method=method)
         try:
-            with urllib.request.urlopen(request, timeout=HANG_S) as response:
+            with urllib.request.urlopen(request, timeout=TIMEOUT_S) as response:
                 return Answer(status=response.status, body=response.read().decode())
         except urllib.error.HTTPError as error:
             return Answer(status=error.code, body=error.read().decode())
@@ -102,14 +102,14 @@
             return None
 
     def wait_until(self, what: str, condition: Callable[[], bool]) -> None:
-        """Wait for `condition`, which is called again and again."""
-        give_up = time.monotonic() + HANG_S
+        """Call `condition` repeatedly until it is true."""
+        deadline = time.monotonic() + TIMEOUT_S
         while not condition():
-            if time.monotonic() > give_up:
-                raise AssertionError(f"never happened: {what}")
-            time.sleep(_POLL_S)
+            if time.monotonic() > deadline:
+                raise AssertionError(f"timed out: {what}")
+            time.sleep(_POLL_INTERVAL_S)
 
-    def _take_port(self, name: str) -> int:
+    def _reserve_port(self, name: str) -> int:
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             port = int(probe.getsockname()[1])
