--- a/coltsfoottray/peers/relay.py
+++ b/coltsfoottray/peers/relay.py
@@ -30,8 +30,8 @@
 # Once a direct request has failed, requests are relayed first for this long, so that
 # not every request has to fail directly first. Then direct requests are tried again.
 _RELAY_DURATION = timedelta(seconds=2)
-# If the relay fails as well, the table is down for all daemons. Relaying pauses,
-# because twice as many requests would not help the table to recover.
+# If the relay fails as well, the table is assumed to be down for all daemons. Relaying
+# pauses, because twice as many requests would not help the table to recover.
 _RELAY_PAUSE = timedelta(seconds=1)
 _REJECTED_STATUSES = (429, 503)
 
@@ -52,7 +52,7 @@
     Parameters
     ----------
     status : int
-        HTTP status, or 0 if the peer got no response.
+        HTTP status, or 0 if the peer got no response from the table.
     is_unseen : bool
         Whether the table certainly did not receive the request; set only if there
         is no response.
@@ -94,7 +94,7 @@
 
     Parameters
     ----------
-    helpers : callable
+    relays : callable
         Returns the peer addresses of the other entries, which can relay requests.
     """
 
@@ -218,7 +218,7 @@
     async def _send_relayed(
         self, request: HttpRequest, timeout: timedelta
     ) -> HttpResponse | None:
-        """Send through an entry; return None if the table certainly did not get it."""
+        """Send through an entry; return None if the table certainly got nothing."""
         relays = self._relays()
         if not relays or self._clock.elapsed() < self._relay_paused_until:
             return None
