--- a/coltsfoottray/upstream/attendant.py
+++ b/coltsfoottray/upstream/attendant.py
@@ -118,7 +118,7 @@
     async def _run(self, message: HttpRequest) -> RunReply:
         request = RunRequest.of_http(message)
         if message.header_by_name.get("x-incarnation") != self._incarnation:
-            # This message was not run, but the previous incarnation may have run an
+            # This message was not run, but an earlier incarnation may have run an
             # earlier attempt of the same id.
             return _not_run("the attendant restarted")
         execution = self._ledger.admit(request.request, request.attempt)
@@ -139,7 +139,7 @@
         return _to_reply(execution)
 
     def _check_admission(self, request: RunRequest) -> RunReply | None:
-        """Return why `request` may not start; None once it holds a connection."""
+        """Acquire a connection for `request`, or return why it may not start."""
         if self.is_draining:
             return _not_run("draining")
         lists = self._holder.current
--- a/coltsfoottray/upstream/ledger.py
+++ b/coltsfoottray/upstream/ledger.py
@@ -37,7 +37,8 @@
     Parameters
     ----------
     attempt : int
-        The attempt that delivered the request, or the highest attempt cancelled.
+        The attempt that delivered the request, or the highest attempt
+        that was cancelled.
     changed_at : timedelta
         When the execution was added or ended, by the attendant's clock.
     answer : HttpResponse, optional
@@ -67,7 +68,7 @@
     retention : timedelta
         How long the id and answer of an ended execution are kept. A request that
         is repeated later than this is treated as new.
-    answer_bytes : int
+    max_answer_bytes : int
         Maximum total size of the stored answer bodies. Beyond it the oldest answers
         are dropped while their ids stay: such a request still never starts again,
         but its answer is no longer available.
