--- a/coltsfoottray/daemons/upstream.py
+++ b/coltsfoottray/daemons/upstream.py
@@ -1,4 +1,4 @@
-"""The attendant daemon beside an upstream."""
+"""The daemon of an upstream's attendant."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 from coltsfoottray.membership import Announcement
 from coltsfoottray.settings import UpstreamSettings
 from coltsfoottray.types import Role
-from coltsfoottray.upstream import ExecutionLedger, SlotGate, UpstreamAttendant
+from coltsfoottray.upstream import (
+    ConcurrencyLimiter,
+    ExecutionLedger,
+    UpstreamAttendant,
+)
 
 __all__ = ["UpstreamDaemon"]
 
@@ -18,7 +22,7 @@
 
 
 class UpstreamDaemon(AttendantDaemon):
-    """Announces one upstream instance and judges what starts there."""
+    """Announces one upstream instance and admits the requests that it runs."""
 
     role = Role.UPSTREAM
 
@@ -32,9 +36,11 @@
             ledger=ExecutionLedger(
                 clock=self.clock,
                 retention=settings.timing.retention,
-                answer_bytes=int(settings.answer_mb * _MB),
+                max_answer_bytes=int(settings.answer_mb * _MB),
+            ),
+            limiter=ConcurrencyLimiter(
+                slots=settings.slots, connections=settings.connections
             ),
-            gate=SlotGate(slots=settings.slots, connections=settings.connections),
             holder=self.holder,
             transport=self.transport,
             clock=self.clock,
@@ -43,7 +49,7 @@
         self.register_membership()
 
     async def shut_down(self) -> None:
-        """Refuse and announce at once, finish what is in flight, and leave."""
+        """Refuse new requests and announce that, finish those in flight, and stop."""
         self.is_draining = self.attendant.is_draining = True
         await self.announcer.announce_now()
         with trio.move_on_after(self.settings.timing.drain_s):
--- a/coltsfoottray/upstream/__init__.py
+++ b/coltsfoottray/upstream/__init__.py
@@ -1,15 +1,15 @@
-"""The attendant beside an upstream: last judge of what starts there."""
+"""The attendant of an upstream, which makes the final decision to start a request."""
 
 from __future__ import annotations
 
 from coltsfoottray.upstream.attendant import UpstreamAttendant
 from coltsfoottray.upstream.ledger import Execution, ExecutionLedger, ExecutionState
-from coltsfoottray.upstream.slots import SlotGate
+from coltsfoottray.upstream.slots import ConcurrencyLimiter
 
 __all__ = [
+    "ConcurrencyLimiter",
     "Execution",
     "ExecutionLedger",
     "ExecutionState",
-    "SlotGate",
     "UpstreamAttendant",
 ]
