--- a/coltsfoottray/entry/api.py
+++ b/coltsfoottray/entry/api.py
@@ -33,4 +33,4 @@
             outcome=Outcome.NOT_FOUND,
             detail=f"no such path: {request.path}; there are /requests, /tasks, "
             "/lists, /status, /explain and /health",
-        ).as_response()
+        ).to_response()
--- a/coltsfoottray/entry/batch.py
+++ b/coltsfoottray/entry/batch.py
@@ -90,13 +90,13 @@
             line = self._holder.current.line_of(customer)
             return Problem(
                 outcome=Outcome.FORBIDDEN, detail=f"not accepted: {reason}; {line}"
-            ).as_response()
+            ).to_response()
         outcome = await self._store.accept(spec)
         if isinstance(outcome, Failure):
             return Problem(
                 outcome=Outcome.CONFLICT,
                 detail=f"id {spec.task!r} was accepted before for another task",
-            ).as_response()
+            ).to_response()
         self._note(spec, Verb.ACCEPT, "queued", "within the plan")
         await self._owner.notify_owner(spec.customer, spec.task)
         return HttpResponse.of_json(_as_answer(outcome.unwrap()), status=_ACCEPTED)
@@ -167,4 +167,4 @@
 def _not_found(task: str) -> HttpResponse:
     return Problem(
         outcome=Outcome.NOT_FOUND, detail=f"no task {task!r} of this customer"
-    ).as_response()
+    ).to_response()
--- a/coltsfoottray/entry/callers.py
+++ b/coltsfoottray/entry/callers.py
@@ -124,7 +124,7 @@
         )
         return Problem(
             outcome=Outcome.FORBIDDEN, detail=f"not run: {line}"
-        ).as_response()
+        ).to_response()
 
 
 def _read_key(request: HttpRequest) -> str:
--- a/coltsfoottray/entry/operators.py
+++ b/coltsfoottray/entry/operators.py
@@ -102,7 +102,7 @@
         if isinstance(outcome, Failure):
             return Problem(
                 outcome=Outcome.CONFLICT, detail=str(outcome.failure())
-            ).as_response()
+            ).to_response()
         return HttpResponse.of_json(outcome.unwrap())
 
     def _status(self) -> EntryStatus:
--- a/coltsfoottray/entry/problems.py
+++ b/coltsfoottray/entry/problems.py
@@ -20,4 +20,4 @@
     outcome = Outcome.NOT_RUN if error.is_unwritten else Outcome.UNKNOWN
     return Problem(
         outcome=outcome, detail=str(error), retry_after=_RETRY_AFTER
-    ).as_response()
+    ).to_response()
--- a/coltsfoottray/http/client.py
+++ b/coltsfoottray/http/client.py
@@ -14,10 +14,10 @@
     HttpRequest,
     HttpResponse,
     HttpTransport,
-    OnBegun,
-    as_header_by_name,
-    as_header_pairs,
-    extend,
+    OnResponseStart,
+    decode_headers,
+    encode_headers,
+    extend_deadline,
     read_body,
     read_event,
     send_all,
@@ -43,7 +43,7 @@
     async def receive_some(self, max_bytes: int | None = None) -> bytes | bytearray:
         data = await self.stream.receive_some(max_bytes)
         self.received_bytes += len(data)
-        extend(self.limit)
+        extend_deadline(self.limit)
         return data
 
     async def aclose(self) -> None:
@@ -72,7 +72,7 @@
         request: HttpRequest,
         *,
         timeout: timedelta = DEFAULT_TIMEOUT,
-        on_begun: OnBegun | None = None,
+        on_response_start: OnResponseStart | None = None,
     ) -> HttpResponse:
         link = await self._open(address)
         link.received_bytes = 0
@@ -81,7 +81,7 @@
             with trio.fail_after(timeout.total_seconds()) as link.limit:
                 await _send_request(link, address, request)
                 step = Step.RECEIVE
-                response = await _read_response(link, on_begun)
+                response = await _read_response(link, on_response_start)
         except (
             trio.TooSlowError,
             trio.BrokenResourceError,
@@ -145,7 +145,7 @@
     head = h11.Request(
         method=request.method,
         target=request.target,
-        headers=as_header_pairs(header_by_name, request.body),
+        headers=encode_headers(header_by_name, request.body),
     )
     await send_all(
         link.stream,
@@ -154,18 +154,20 @@
     )
 
 
-async def _read_response(link: _Link, on_begun: OnBegun | None) -> HttpResponse:
+async def _read_response(
+    link: _Link, on_response_start: OnResponseStart | None
+) -> HttpResponse:
     event = await read_event(link, link.connection)
     while isinstance(event, h11.InformationalResponse):
         event = await read_event(link, link.connection)
     if not isinstance(event, h11.Response):
         raise h11.RemoteProtocolError(f"connection ended before a response: {event!r}")
-    if on_begun is not None:
-        on_begun(event.status_code)
+    if on_response_start is not None:
+        on_response_start(event.status_code)
     body = await read_body(link, link.connection)
     return HttpResponse(
         status=event.status_code,
-        header_by_name=as_header_by_name(event.headers),
+        header_by_name=decode_headers(event.headers),
         body=body,
     )
 
--- a/coltsfoottray/http/common.py
+++ b/coltsfoottray/http/common.py
@@ -23,8 +23,8 @@
     "HttpRequest",
     "HttpResponse",
     "HttpTransport",
-    "OnBegun",
-    "extend",
+    "OnResponseStart",
+    "extend_deadline",
     "read_event",
     "send_all",
 ]
@@ -94,7 +94,7 @@
 
 
 Handler = Callable[[HttpRequest], Awaitable[HttpResponse]]
-OnBegun = Callable[[int], None]
+OnResponseStart = Callable[[int], None]
 
 
 class HttpTransport(abc.ABC):
@@ -107,7 +107,7 @@
         request: HttpRequest,
         *,
         timeout: timedelta = DEFAULT_TIMEOUT,
-        on_begun: OnBegun | None = None,
+        on_response_start: OnResponseStart | None = None,
     ) -> HttpResponse:
         """Send `request` and return the whole response.
 
@@ -128,7 +128,7 @@
         """
 
 
-def extend(limit: trio.CancelScope) -> None:
+def extend_deadline(limit: trio.CancelScope) -> None:
     """Let `limit` wait on for a peer of which something has just been heard."""
     until = trio.current_time() + _IDLE_TIMEOUT.total_seconds()
     limit.deadline = max(limit.deadline, until)
@@ -181,12 +181,12 @@
             raise h11.RemoteProtocolError(f"unexpected {event!r} in a body")
 
 
-def as_header_by_name(headers: h11._headers.Headers) -> dict[str, str]:
+def decode_headers(headers: h11._headers.Headers) -> dict[str, str]:
     """Return h11's header pairs by name, the last one winning."""
     return {name.decode("ascii"): value.decode("latin-1") for name, value in headers}
 
 
-def as_header_pairs(header_by_name: Headers, body: bytes) -> list[tuple[str, str]]:
+def encode_headers(header_by_name: Headers, body: bytes) -> list[tuple[str, str]]:
     """Return header pairs for h11 with the body's true length."""
     pairs = [(k, v) for k, v in header_by_name.items() if k != "content-length"]
     pairs.append(("content-length", str(len(body))))
--- a/coltsfoottray/http/problem.py
+++ b/coltsfoottray/http/problem.py
@@ -12,7 +12,7 @@
 from coltsfoottray.errors import InputError
 from coltsfoottray.http.common import Handler, HttpRequest, HttpResponse
 
-__all__ = ["Outcome", "Problem", "answer_or_refuse"]
+__all__ = ["Outcome", "Problem", "call_handler"]
 
 
 class Outcome(enum.Enum):
@@ -56,7 +56,7 @@
     detail: str
     retry_after: timedelta | None = None
 
-    def as_response(self) -> HttpResponse:
+    def to_response(self) -> HttpResponse:
         """Return the problem as an HTTP response."""
         header_by_name = {"content-type": "application/problem+json"}
         if self.retry_after is not None:
@@ -74,9 +74,9 @@
         return HttpResponse(status=status, header_by_name=header_by_name, body=body)
 
 
-async def answer_or_refuse(handler: Handler, request: HttpRequest) -> HttpResponse:
+async def call_handler(handler: Handler, request: HttpRequest) -> HttpResponse:
     """Return the handler's answer, or status 400 with what was wrong."""
     try:
         return await handler(request)
     except InputError as error:
-        return Problem(outcome=Outcome.INVALID, detail=str(error)).as_response()
+        return Problem(outcome=Outcome.INVALID, detail=str(error)).to_response()
--- a/coltsfoottray/http/server.py
+++ b/coltsfoottray/http/server.py
@@ -10,13 +10,13 @@
     Handler,
     HttpRequest,
     HttpResponse,
-    as_header_by_name,
-    as_header_pairs,
+    decode_headers,
+    encode_headers,
     read_body,
     read_event,
     send_all,
 )
-from coltsfoottray.http.problem import Outcome, Problem, answer_or_refuse
+from coltsfoottray.http.problem import Outcome, Problem, call_handler
 from coltsfoottray.kernel import Listener
 from coltsfoottray.types import Address
 
@@ -81,7 +81,7 @@
         request = HttpRequest(
             method=event.method.decode("ascii"),
             target=event.target.decode("ascii"),
-            header_by_name=as_header_by_name(event.headers),
+            header_by_name=decode_headers(event.headers),
             body=body,
         )
         self._in_flight += 1
@@ -94,13 +94,13 @@
 
     async def _answer(self, request: HttpRequest) -> HttpResponse:
         try:
-            return await answer_or_refuse(self._handler, request)
+            return await call_handler(self._handler, request)
         except Exception:
             # A fault in one handler must not take the other connections down.
             eliot.write_traceback()
             return Problem(
                 outcome=Outcome.UNKNOWN, detail="internal error; see the log"
-            ).as_response()
+            ).to_response()
 
 
 async def _send_response(
@@ -108,7 +108,7 @@
 ) -> None:
     head = h11.Response(
         status_code=response.status,
-        headers=as_header_pairs(response.header_by_name, response.body),
+        headers=encode_headers(response.header_by_name, response.body),
     )
     await send_all(
         stream, connection, [head, h11.Data(data=response.body), h11.EndOfMessage()]
@@ -124,6 +124,6 @@
         return
     problem = Problem(outcome=Outcome.INVALID, detail=str(error))
     try:
-        await _send_response(stream, connection, problem.as_response())
+        await _send_response(stream, connection, problem.to_response())
     except (trio.BrokenResourceError, h11.LocalProtocolError):
         return
--- a/coltsfoottray/peers/relay.py
+++ b/coltsfoottray/peers/relay.py
@@ -19,7 +19,7 @@
 from coltsfoottray.clock import Clock
 from coltsfoottray.errors import CommunicationError, Step
 from coltsfoottray.http import HttpRequest, HttpResponse, HttpTransport
-from coltsfoottray.http.common import DEFAULT_TIMEOUT, OnBegun
+from coltsfoottray.http.common import DEFAULT_TIMEOUT, OnResponseStart
 from coltsfoottray.logs import log_event
 from coltsfoottray.peers.common import Call, PeerClient
 from coltsfoottray.types import Address
@@ -119,12 +119,12 @@
         request: HttpRequest,
         *,
         timeout: timedelta = DEFAULT_TIMEOUT,
-        on_begun: OnBegun | None = None,
+        on_response_start: OnResponseStart | None = None,
     ) -> HttpResponse:
         response = await self._send_any_way(address, request, timeout)
-        if on_begun is not None:
+        if on_response_start is not None:
             # Only a whole answer has come by one way for certain.
-            on_begun(response.status)
+            on_response_start(response.status)
         return response
 
     async def _send_any_way(
@@ -187,7 +187,11 @@
 
         round_about = trio.CancelScope()
         ask_directly = partial(
-            self._direct.send, address, request, timeout=timeout, on_begun=end_detour
+            self._direct.send,
+            address,
+            request,
+            timeout=timeout,
+            on_response_start=end_detour,
         )
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask, ask_directly)
--- a/coltsfoottray/requests/dispatcher.py
+++ b/coltsfoottray/requests/dispatcher.py
@@ -327,7 +327,7 @@
         self._note(request, Verb.REFUSE, choice="not run", reason=reason)
         return Problem(
             outcome=Outcome.NOT_RUN, detail=reason, retry_after=RETRY_AFTER
-        ).as_response()
+        ).to_response()
 
     def _unknown(self, request: CallerRequest, reason: str) -> HttpResponse:
         self._note(request, Verb.REFUSE, choice="outcome unknown", reason=reason)
@@ -336,7 +336,7 @@
             outcome=Outcome.UNKNOWN,
             detail=reason,
             retry_after=RETRY_AFTER if is_safe else None,
-        ).as_response()
+        ).to_response()
 
     def _note(
         self,
--- a/properties/planted.py
+++ b/properties/planted.py
@@ -181,5 +181,5 @@
 @contextmanager
 def answers_given_up_on_their_way() -> Iterator[None]:
     """Let the time for an answer to begin bound the whole of it."""
-    with mock.patch.object(links, "extend", lambda limit: None):
+    with mock.patch.object(links, "extend_deadline", lambda limit: None):
         yield
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -22,8 +22,8 @@
     HttpResponse,
     HttpTransport,
 )
-from coltsfoottray.http.common import DEFAULT_TIMEOUT, OnBegun
-from coltsfoottray.http.problem import answer_or_refuse
+from coltsfoottray.http.common import DEFAULT_TIMEOUT, OnResponseStart
+from coltsfoottray.http.problem import call_handler
 from coltsfoottray.kernel import Kernel, Listener
 from coltsfoottray.peers import Call, CallHandlers, PeerClient
 from coltsfoottray.types import Address
@@ -174,7 +174,7 @@
         address: Address,
         message: Any,
         timeout: timedelta,
-        on_begun: OnBegun | None = None,
+        on_response_start: OnResponseStart | None = None,
     ) -> Any:
         """Carry `message` to `address` and its reply back, over one connection.
 
@@ -184,7 +184,7 @@
         link = self._link_by_ends.setdefault((sender, address), _Link())
         try:
             return await self._exchange_on(
-                link, sender, address, message, timeout, on_begun
+                link, sender, address, message, timeout, on_response_start
             )
         except CommunicationError:
             if self._link_by_ends.get((sender, address)) is link:
@@ -198,7 +198,7 @@
         address: Address,
         message: Any,
         timeout: timedelta,
-        on_begun: OnBegun | None,
+        on_response_start: OnResponseStart | None,
     ) -> Any:
         await self.faults(sender).running.wait()
         await trio.sleep(_LATENCY_S)
@@ -220,8 +220,10 @@
             await pending.done.wait()
             if link in self.silent:
                 await trio.sleep_forever()
-            if on_begun is not None and isinstance(pending.reply, HttpResponse):
-                on_begun(pending.reply.status)
+            if on_response_start is not None and isinstance(
+                pending.reply, HttpResponse
+            ):
+                on_response_start(pending.reply.status)
             await self.faults(sender).link.receive(_size(pending.reply), limit)
             is_whole = True
             await self.faults(sender).running.wait()
@@ -325,7 +327,7 @@
 
     def http(self, address: Address, handler: Handler) -> Listener:
         async def serve(request: HttpRequest) -> HttpResponse:
-            return await answer_or_refuse(handler, request)
+            return await call_handler(handler, request)
 
         return _MemoryListener(self._fabric, self._process, address, serve)
 
@@ -348,10 +350,10 @@
         request: HttpRequest,
         *,
         timeout: timedelta = DEFAULT_TIMEOUT,
-        on_begun: OnBegun | None = None,
+        on_response_start: OnResponseStart | None = None,
     ) -> HttpResponse:
         reply = await self._fabric.exchange(
-            self._process, address, request, timeout, on_begun
+            self._process, address, request, timeout, on_response_start
         )
         assert isinstance(reply, HttpResponse)
         return reply
--- a/standins/links.py
+++ b/standins/links.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from coltsfoottray.http.common import extend
+from coltsfoottray.http.common import extend_deadline
 
 __all__ = ["AccessLink"]
 
@@ -38,5 +38,5 @@
                 async with self._turn:
                     await trio.sleep(piece / self.bytes_per_s)
             self.received_bytes += piece
-            extend(limit)
+            extend_deadline(limit)
             size -= piece
