--- a/coltsfoottray/daemons/common.py
+++ b/coltsfoottray/daemons/common.py
@@ -104,8 +104,8 @@
 
     def describe(self) -> Announcement:
         """Return the daemon's announcement as of now."""
-        http = self.kernel.find(HTTP_SERVER, Listener).bound
-        peers = self.kernel.find(PEER_SERVER, Listener).bound
+        http = self.kernel.find(HTTP_SERVER, Listener).bound_address
+        peers = self.kernel.find(PEER_SERVER, Listener).bound_address
         return Announcement(
             daemon=self.daemon_id,
             role=self.role,
--- a/coltsfoottray/daemons/entry.py
+++ b/coltsfoottray/daemons/entry.py
@@ -202,7 +202,7 @@
         return MemberRow(
             entry=self.entry_id,
             incarnation=self.incarnation,
-            claims=self.kernel.find(CLAIM_SERVER, Listener).bound,
+            claims=self.kernel.find(CLAIM_SERVER, Listener).bound_address,
         )
 
     def _make_callers(self) -> CallerApi:
--- a/coltsfoottray/http/server.py
+++ b/coltsfoottray/http/server.py
@@ -31,7 +31,7 @@
     Parameters
     ----------
     address : Address
-        Where to listen; port 0 takes a free one, see `bound`.
+        Where to listen; port 0 takes a free one, see `bound_address`.
     handler : Handler
         Called once for each whole request. An `InputError` it raises is
         answered with status 400, any other error with 500.
@@ -41,7 +41,7 @@
         self._address = address
         self._handler = handler
         self._in_flight = 0
-        self.bound = address
+        self.bound_address = address
 
     async def run(  # noqa: D102
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -50,7 +50,7 @@
             self._address.port, host=self._address.host
         )
         port = listeners[0].socket.getsockname()[1]
-        self.bound = Address(host=self._address.host, port=port)
+        self.bound_address = Address(host=self._address.host, port=port)
         task_status.started()
         await trio.serve_listeners(self._serve_connection, listeners)
 
--- a/coltsfoottray/kernel/service.py
+++ b/coltsfoottray/kernel/service.py
@@ -28,6 +28,6 @@
 
 
 class Listener(Service):
-    """A server; `bound` is where it listens once it has started."""
+    """A server; `bound_address` is where it listens once it has started."""
 
-    bound: Address
+    bound_address: Address
--- a/coltsfoottray/peers/grpc.py
+++ b/coltsfoottray/peers/grpc.py
@@ -69,12 +69,12 @@
 
 
 class GrpcPeerServer(Listener):
-    """Answers peer calls on `address`; port 0 takes a free one, see `bound`."""
+    """Answers peer calls on `address`; port 0 takes a free one, see `bound_address`."""
 
     def __init__(self, *, address: Address, handlers: CallHandlers) -> None:
         self._address = address
         self._handlers = handlers
-        self.bound = address
+        self.bound_address = address
 
     async def run(  # noqa: D102
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -85,7 +85,7 @@
             await start(self._address.host, self._address.port)
             sockets = server._server.sockets  # type: ignore[union-attr]
             port = sockets[0].getsockname()[1]
-            self.bound = Address(host=self._address.host, port=port)
+            self.bound_address = Address(host=self._address.host, port=port)
             task_status.started()
             try:
                 await trio.sleep_forever()
--- a/properties/list_edits.py
+++ b/properties/list_edits.py
@@ -97,7 +97,9 @@
                 fabric.free_address(), self.table.handle
             )
             await nursery.start(server.run)
-            table = HttpTable(address=server.bound, client=fabric.transport("entry"))
+            table = HttpTable(
+                address=server.bound_address, client=fabric.transport("entry")
+            )
             editor = ListEditor(
                 table=table, clock=TrioClock(), holder=self._holders[operator]
             )
--- a/standins/cell.py
+++ b/standins/cell.py
@@ -225,7 +225,7 @@
         running = Running()
         self.running_by_name[name] = running
         await self._nursery.start(_run_daemon, server, running.scope)
-        return server.bound
+        return server.bound_address
 
     async def _write_lists(self, extra_customers: Iterable[str]) -> None:
         table = HttpTable(
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -263,7 +263,7 @@
         self, fabric: MemoryFabric, process: str, address: Address, serve: Any
     ) -> None:
         self.process = process
-        self.bound = fabric.free_address() if address.port == 0 else address
+        self.bound_address = fabric.free_address() if address.port == 0 else address
         self._fabric = fabric
         self._serve = serve
         self._nursery: trio.Nursery | None = None
@@ -272,14 +272,14 @@
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        self._fabric.listener_by_address[self.bound] = self
+        self._fabric.listener_by_address[self.bound_address] = self
         try:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
                 task_status.started()
                 await trio.sleep_forever()
         finally:
-            del self._fabric.listener_by_address[self.bound]
+            del self._fabric.listener_by_address[self.bound_address]
             for pending in self._open:
                 pending.error = "closed"
                 pending.done.set()
--- a/tests/steps/channel_steps.py
+++ b/tests/steps/channel_steps.py
@@ -74,7 +74,7 @@
     async def call(number, text, timeout):
         try:
             answers[number] = await client.call(
-                server.bound, _ECHO, _Ask(text), timeout=timeout
+                server.bound_address, _ECHO, _Ask(text), timeout=timeout
             )
         except CommunicationError as error:
             answers[number] = error
