--- a/coltsfoottray/errors.py
+++ b/coltsfoottray/errors.py
@@ -5,10 +5,10 @@
 import enum
 from dataclasses import dataclass
 
-__all__ = ["ColtsfoottrayError", "CommunicationError", "InputError", "Step"]
+__all__ = ["ColtsfoottrayError", "CommunicationError", "ExchangeStep", "InputError"]
 
 
-class Step(enum.Enum):
+class ExchangeStep(enum.Enum):
     """How far an exchange with a peer had come when it failed."""
 
     CONNECT = "connect"
@@ -28,7 +28,7 @@
     Parameters
     ----------
     step : Step
-        The step that failed. Only `Step.CONNECT` proves that the peer has
+        The step that failed. Only `ExchangeStep.CONNECT` proves that the peer has
         seen nothing of the exchange.
     peer : str
         The peer's address or name.
@@ -40,7 +40,7 @@
         How much of the answer had come.
     """
 
-    step: Step
+    step: ExchangeStep
     peer: str
     detail: str
     is_refused: bool = False
@@ -55,7 +55,7 @@
     @property
     def is_unseen(self) -> bool:
         """Whether the peer certainly saw nothing of the exchange."""
-        return self.step is Step.CONNECT
+        return self.step is ExchangeStep.CONNECT
 
 
 @dataclass(kw_only=True)
--- a/coltsfoottray/http/client.py
+++ b/coltsfoottray/http/client.py
@@ -8,7 +8,7 @@
 import h11
 import trio
 
-from coltsfoottray.errors import CommunicationError, Step
+from coltsfoottray.errors import CommunicationError, ExchangeStep
 from coltsfoottray.http.common import (
     DEFAULT_TIMEOUT,
     HttpRequest,
@@ -76,11 +76,11 @@
     ) -> HttpResponse:
         link = await self._open(address)
         link.received_bytes = 0
-        step = Step.SEND
+        step = ExchangeStep.SEND
         try:
             with trio.fail_after(timeout.total_seconds()) as link.limit:
                 await _send_request(link, address, request)
-                step = Step.RECEIVE
+                step = ExchangeStep.RECEIVE
                 response = await _read_response(link, on_response_start)
         except (
             trio.TooSlowError,
@@ -118,7 +118,7 @@
                 stream = await trio.open_tcp_stream(address.host, address.port)
         except (OSError, trio.TooSlowError) as error:
             raise CommunicationError(
-                step=Step.CONNECT,
+                step=ExchangeStep.CONNECT,
                 peer=str(address),
                 detail=str(error) or "timeout",
                 is_refused=_is_refused(error),
--- a/coltsfoottray/http/common.py
+++ b/coltsfoottray/http/common.py
@@ -123,7 +123,7 @@
         Raises
         ------
         CommunicationError
-            With `Step.CONNECT` only if nothing was sent: the caller may then
+            With `ExchangeStep.CONNECT` only if nothing was sent: the caller may then
             rely on the peer not having seen the request.
         """
 
--- a/coltsfoottray/peers/grpc.py
+++ b/coltsfoottray/peers/grpc.py
@@ -15,7 +15,7 @@
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 from grpclib.server import Server, Stream
 
-from coltsfoottray.errors import CommunicationError, Step
+from coltsfoottray.errors import CommunicationError, ExchangeStep
 from coltsfoottray.kernel import Listener, Service
 from coltsfoottray.peers.common import Call, CallHandlers, PeerClient, Reply, Request
 from coltsfoottray.types import Address
@@ -125,13 +125,13 @@
         method = UnaryUnaryMethod(
             channel, call.path, call.request_type, call.reply_type
         )
-        step = Step.RECEIVE
+        step = ExchangeStep.RECEIVE
         try:
             with trio.fail_after(timeout.total_seconds()):
                 try:
                     await trio_asyncio.aio_as_trio(channel.__connect__)()
                 except OSError:
-                    step = Step.CONNECT
+                    step = ExchangeStep.CONNECT
                     raise
                 return await trio_asyncio.aio_as_trio(method)(request)  # type: ignore
         except (OSError, GRPCError, StreamTerminatedError, trio.TooSlowError) as error:
--- a/coltsfoottray/peers/http.py
+++ b/coltsfoottray/peers/http.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from coltsfoottray.errors import CommunicationError, Step
+from coltsfoottray.errors import CommunicationError, ExchangeStep
 from coltsfoottray.http import HttpRequest, HttpResponse, HttpTransport
 from coltsfoottray.peers.common import Call, CallHandlers, PeerClient, Reply, Request
 from coltsfoottray.types import Address
@@ -61,4 +61,6 @@
 
 
 def _decode_error(address: Address, detail: str) -> CommunicationError:
-    return CommunicationError(step=Step.DECODE, peer=str(address), detail=detail)
+    return CommunicationError(
+        step=ExchangeStep.DECODE, peer=str(address), detail=detail
+    )
--- a/coltsfoottray/peers/relay.py
+++ b/coltsfoottray/peers/relay.py
@@ -17,7 +17,7 @@
 import trio
 
 from coltsfoottray.clock import Clock
-from coltsfoottray.errors import CommunicationError, Step
+from coltsfoottray.errors import CommunicationError, ExchangeStep
 from coltsfoottray.http import HttpRequest, HttpResponse, HttpTransport
 from coltsfoottray.http.common import DEFAULT_TIMEOUT, OnResponseStart
 from coltsfoottray.logs import log_event
@@ -240,7 +240,7 @@
             if reply.is_unseen:
                 return None
             raise CommunicationError(
-                step=Step.RECEIVE, peer=f"table by {helper}", detail="no answer"
+                step=ExchangeStep.RECEIVE, peer=f"table by {helper}", detail="no answer"
             )
         if reply.status in _TURNED_AWAY:
             self._pause(f"{helper} got status {reply.status}")
--- a/coltsfoottray/platform/advice.py
+++ b/coltsfoottray/platform/advice.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from coltsfoottray.errors import CommunicationError, Step
+from coltsfoottray.errors import CommunicationError, ExchangeStep
 from coltsfoottray.http import HttpRequest, HttpTransport
 from coltsfoottray.jobs.model import AdviceTerms, JobId
 from coltsfoottray.scheduler.advice import Adviser, Permit
@@ -68,5 +68,5 @@
 
     def _failed(self, detail: str) -> CommunicationError:
         return CommunicationError(
-            step=Step.RECEIVE, peer=f"adviser {self._address}", detail=detail
+            step=ExchangeStep.RECEIVE, peer=f"adviser {self._address}", detail=detail
         )
--- a/coltsfoottray/platform/http.py
+++ b/coltsfoottray/platform/http.py
@@ -9,7 +9,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from coltsfoottray.errors import CommunicationError, Step
+from coltsfoottray.errors import CommunicationError, ExchangeStep
 from coltsfoottray.http import HttpRequest, HttpResponse, HttpTransport
 from coltsfoottray.platform.common import (
     ObjectStore,
@@ -159,7 +159,7 @@
 def _expect_ok(response: HttpResponse, address: Address) -> None:
     if response.status != 200:
         raise CommunicationError(
-            step=Step.RECEIVE,
+            step=ExchangeStep.RECEIVE,
             peer=str(address),
             detail=f"status {response.status}: {response.body[:200]!r}",
         )
--- a/coltsfoottray/platform/instance.py
+++ b/coltsfoottray/platform/instance.py
@@ -22,7 +22,7 @@
     WorkerReplaced,
 )
 from coltsfoottray.clock import Clock
-from coltsfoottray.errors import CommunicationError, Step
+from coltsfoottray.errors import CommunicationError, ExchangeStep
 from coltsfoottray.http import HttpRequest, HttpResponse, HttpTransport
 from coltsfoottray.jobs.model import JobId, RunRef, TaskRef
 from coltsfoottray.types import Address, Resources
@@ -306,7 +306,7 @@
 
 def _failed(heartbeat: Heartbeat, detail: str) -> CommunicationError:
     return CommunicationError(
-        step=Step.DECODE,
+        step=ExchangeStep.DECODE,
         peer=f"worker {heartbeat.life} at {heartbeat.address}",
         detail=detail,
     )
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -14,7 +14,7 @@
 from coltsfoottray.clock import Clock, TrioClock
 from coltsfoottray.daemons.common import CLOCK, LISTENERS, PEERS, RANDOM, TRANSPORT
 from coltsfoottray.daemons.listeners import ListenerFactory, SocketListeners
-from coltsfoottray.errors import CommunicationError, Step
+from coltsfoottray.errors import CommunicationError, ExchangeStep
 from coltsfoottray.http import (
     Handler,
     HttpClient,
@@ -205,7 +205,7 @@
         listener = self.listener_by_address.get(address)
         if listener is None:
             raise CommunicationError(
-                step=Step.CONNECT,
+                step=ExchangeStep.CONNECT,
                 peer=str(address),
                 detail="nobody listens",
                 is_refused=True,
@@ -228,9 +228,9 @@
             is_whole = True
             await self.faults(sender).running.wait()
         if pending.error is not None:
-            raise _error(Step.RECEIVE, address, pending.error)
+            raise _error(ExchangeStep.RECEIVE, address, pending.error)
         if link in self.silent or not is_whole:
-            raise _error(Step.RECEIVE, address, "timeout")
+            raise _error(ExchangeStep.RECEIVE, address, "timeout")
         return pending.reply
 
 
@@ -252,7 +252,7 @@
     error: str | None = None
 
 
-def _error(step: Step, address: Address, detail: str) -> CommunicationError:
+def _error(step: ExchangeStep, address: Address, detail: str) -> CommunicationError:
     return CommunicationError(step=step, peer=str(address), detail=detail)
 
 
--- a/standins/instance.py
+++ b/standins/instance.py
@@ -11,7 +11,7 @@
 import msgspec
 import trio
 
-from coltsfoottray.errors import CommunicationError, Step
+from coltsfoottray.errors import CommunicationError, ExchangeStep
 from coltsfoottray.http import HttpRequest, HttpResponse, HttpTransport
 from coltsfoottray.types import Address
 from standins.advice import AdviceStandIn
@@ -285,7 +285,9 @@
                 await self._ended.wait()
         if self.born != born:
             raise CommunicationError(
-                step=Step.RECEIVE, peer=str(self.address), detail="the worker crashed"
+                step=ExchangeStep.RECEIVE,
+                peer=str(self.address),
+                detail="the worker crashed",
             )
         rows = [
             [run.task, run.number, self._saved(run), self._percent(run), run.figure]
--- a/tests/steps/slow_answer_steps.py
+++ b/tests/steps/slow_answer_steps.py
@@ -7,7 +7,7 @@
 import trio
 from behave import given, then, when
 
-from coltsfoottray.errors import CommunicationError, Step
+from coltsfoottray.errors import CommunicationError, ExchangeStep
 from coltsfoottray.http import HttpClient, HttpRequest
 from coltsfoottray.types import Address
 
@@ -42,7 +42,7 @@
 def check_error(context, count):
     error = context.outcome
     assert isinstance(error, CommunicationError), error
-    assert error.step is Step.RECEIVE, error
+    assert error.step is ExchangeStep.RECEIVE, error
     assert count * len(_PIECE) <= error.received_bytes < (count + 1) * len(_PIECE)
 
 
