--- a/coltsfoottray/cli/queries.py
+++ b/coltsfoottray/cli/queries.py
@@ -11,7 +11,7 @@
 from coltsfoottray.cli.common import EntryOption, ask, fail
 from coltsfoottray.entry.operators import EntryStatus
 from coltsfoottray.explain import Decision
-from coltsfoottray.explain.logfiles import read_about
+from coltsfoottray.explain.logfiles import read_lines_about
 
 __all__ = ["explain", "status"]
 
@@ -46,7 +46,7 @@
     for path in files:
         if not path.is_file():
             fail(f"--logs: got {str(path)!r}, expected a log file", code=2)
-    lines = read_about(subject, files)
+    lines = read_lines_about(subject, files)
     if not lines:
         fail(f"{subject!r}: no line of these files names it")
     for line in lines:
--- a/coltsfoottray/entry/batch.py
+++ b/coltsfoottray/entry/batch.py
@@ -128,7 +128,9 @@
         return await self._answer(customer, task)
 
     def _note(self, spec: TaskSpec, verb: Verb, choice: str, reason: str) -> None:
-        self._journal.note(spec.task, spec.customer, verb, choice=choice, reason=reason)
+        self._journal.record(
+            spec.task, spec.customer, verb, choice=choice, reason=reason
+        )
 
 
 def _as_spec(customer: CustomerId, submission: TaskSubmission) -> TaskSpec:
--- a/coltsfoottray/entry/callers.py
+++ b/coltsfoottray/entry/callers.py
@@ -115,7 +115,7 @@
 
     def _forbid(self, request: CallerRequest) -> HttpResponse:
         line = self._holder.current.line_of(request.customer)
-        self._journal.note(
+        self._journal.record(
             request.request,
             request.customer,
             Verb.REFUSE,
--- a/coltsfoottray/errors.py
+++ b/coltsfoottray/errors.py
@@ -27,7 +27,7 @@
 
     Parameters
     ----------
-    step : Step
+    step : ExchangeStep
         The step that failed. Only `ExchangeStep.CONNECT` proves that the peer has
         seen nothing of the exchange.
     peer : str
--- a/coltsfoottray/explain/journal.py
+++ b/coltsfoottray/explain/journal.py
@@ -71,7 +71,7 @@
         self._holder = holder
         self._decisions: deque[Decision] = deque(maxlen=MAX_DECISIONS)
 
-    def note(
+    def record(
         self,
         subject: str,
         customer: CustomerId,
--- a/coltsfoottray/explain/logfiles.py
+++ b/coltsfoottray/explain/logfiles.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-__all__ = ["LogLine", "LogLines", "read_about", "read_lines"]
+__all__ = ["LogLine", "LogLines", "read_lines", "read_lines_about"]
 
 # What eliot adds to find its own messages again.
 _LIBRARY_FIELDS = ("timestamp", "task_uuid", "task_level", "message_type")
@@ -58,7 +58,7 @@
     return found
 
 
-def read_about(subject: str, files: Iterable[Path]) -> list[LogLine]:
+def read_lines_about(subject: str, files: Iterable[Path]) -> list[LogLine]:
     """Return the lines that name `subject` in any field, oldest first."""
     return read_lines(files, naming=subject).lines
 
--- a/coltsfoottray/requests/dispatcher.py
+++ b/coltsfoottray/requests/dispatcher.py
@@ -347,7 +347,7 @@
         reason: str,
         runners_up: Sequence[RunnerUp] = (),
     ) -> None:
-        self._journal.note(
+        self._journal.record(
             request.request,
             request.customer,
             verb,
--- a/coltsfoottray/tasks/placer.py
+++ b/coltsfoottray/tasks/placer.py
@@ -234,7 +234,7 @@
         reason: str,
         runners_up: Sequence[RunnerUp],
     ) -> None:
-        self._journal.note(
+        self._journal.record(
             spec.task,
             spec.customer,
             verb,
--- a/coltsfoottray/tasks/supervisor.py
+++ b/coltsfoottray/tasks/supervisor.py
@@ -234,7 +234,7 @@
         partition.put(outcome.unwrap())
         partition.started_at_by_task.pop(row.spec.task, None)
         self._views.forget_spec(row.spec.task)
-        self._journal.note(
+        self._journal.record(
             row.spec.task,
             row.spec.customer,
             verb,
--- a/tests/steps/log_steps.py
+++ b/tests/steps/log_steps.py
@@ -9,7 +9,7 @@
 
 from behave import given, then, when
 
-from coltsfoottray.explain.logfiles import read_about
+from coltsfoottray.explain.logfiles import read_lines_about
 from coltsfoottray.logs import LineWriter
 
 
@@ -42,7 +42,7 @@
 
 @when('"{job}" is looked for in both')
 def look(context, job):
-    context.lines = read_about(job, sorted(_folder(context).iterdir()))
+    context.lines = read_lines_about(job, sorted(_folder(context).iterdir()))
 
 
 @then('the events are "{first}", "{second}", "{third}"')
