--- a/coltsfoottray/http/__init__.py
+++ b/coltsfoottray/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 over trio by h11: a small server, a pooled client, problem bodies."""
+"""HTTP/1.1 on trio and h11: a server, a pooling client and problem details."""
 
 from __future__ import annotations
 
--- a/coltsfoottray/http/client.py
+++ b/coltsfoottray/http/client.py
@@ -1,4 +1,4 @@
-"""A pooled HTTP/1.1 client."""
+"""An HTTP/1.1 client with a connection pool."""
 
 from __future__ import annotations
 
@@ -27,30 +27,34 @@
 __all__ = ["HttpClient"]
 
 CONNECT_TIMEOUT = timedelta(seconds=1)
-# Peers close idle connections; a pool beyond this is never reused in time.
+# A peer closes idle connections, so a larger pool would hold connections that are
+# closed before they are reused.
 MAX_IDLE_PER_PEER = 32
 
 
-class _Link(trio.abc.ReceiveStream):
-    """One open connection, its h11 state, and how much of the answer has come."""
+class _PooledConnection(trio.abc.ReceiveStream):
+    """An open connection with its h11 state and the response size received so far."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self.stream = stream
         self.connection = h11.Connection(h11.CLIENT)
         self.received_bytes = 0
-        self.limit = trio.CancelScope()
+        self.cancel_scope = trio.CancelScope()
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes | bytearray:
         data = await self.stream.receive_some(max_bytes)
         self.received_bytes += len(data)
-        extend_deadline(self.limit)
+        extend_deadline(self.cancel_scope)
         return data
 
     async def aclose(self) -> None:
         await self.stream.aclose()
 
     def is_closed_by_peer(self) -> bool:
-        """Whether an idle link has become readable, which means end of file."""
+        """Return whether the peer has closed this idle connection.
+
+        An idle connection becomes readable only at end of file.
+        """
         try:
             self.stream.socket._sock.recv(1)  # type: ignore[attr-defined]
         except BlockingIOError:
@@ -61,10 +65,12 @@
 
 
 class HttpClient(HttpTransport):
-    """Sends requests over kept-alive connections, one request on each at a time."""
+    """Sends requests over keep-alive connections, one request at a time on each."""
 
     def __init__(self) -> None:
-        self._idle_by_address: dict[Address, list[_Link]] = defaultdict(list)
+        self._idle_by_address: dict[Address, list[_PooledConnection]] = defaultdict(
+            list
+        )
 
     async def send(  # noqa: D102
         self,
@@ -74,14 +80,14 @@
         timeout: timedelta = DEFAULT_TIMEOUT,
         on_response_start: OnResponseStart | None = None,
     ) -> HttpResponse:
-        link = await self._open(address)
-        link.received_bytes = 0
+        pooled = await self._acquire(address)
+        pooled.received_bytes = 0
         step = ExchangeStep.SEND
         try:
-            with trio.fail_after(timeout.total_seconds()) as link.limit:
-                await _send_request(link, address, request)
+            with trio.fail_after(timeout.total_seconds()) as pooled.cancel_scope:
+                await _send_request(pooled, address, request)
                 step = ExchangeStep.RECEIVE
-                response = await _read_response(link, on_response_start)
+                response = await _read_response(pooled, on_response_start)
         except (
             trio.TooSlowError,
             trio.BrokenResourceError,
@@ -93,26 +99,26 @@
                 step=step,
                 peer=str(address),
                 detail=detail,
-                received_bytes=link.received_bytes,
+                received_bytes=pooled.received_bytes,
             ) from error
         finally:
-            self._give_back(address, link)
+            self._release(address, pooled)
         return response
 
     def close(self) -> None:
         """Close every idle connection."""
-        for links in self._idle_by_address.values():
-            for link in links:
-                link.stream.socket.close()
+        for pool in self._idle_by_address.values():
+            for pooled in pool:
+                pooled.stream.socket.close()
         self._idle_by_address.clear()
 
-    async def _open(self, address: Address) -> _Link:
+    async def _acquire(self, address: Address) -> _PooledConnection:
         idle = self._idle_by_address[address]
         while idle:
-            link = idle.pop()
-            if not link.is_closed_by_peer():
-                return link
-            link.stream.socket.close()
+            pooled = idle.pop()
+            if not pooled.is_closed_by_peer():
+                return pooled
+            pooled.stream.socket.close()
         try:
             with trio.fail_after(CONNECT_TIMEOUT.total_seconds()):
                 stream = await trio.open_tcp_stream(address.host, address.port)
@@ -124,23 +130,28 @@
                 is_refused=_is_refused(error),
             ) from error
         assert isinstance(stream, trio.SocketStream)
-        return _Link(stream)
+        return _PooledConnection(stream)
+
+    def _release(self, address: Address, pooled: _PooledConnection) -> None:
+        """Put a connection back into the pool if its exchange is complete.
 
-    def _give_back(self, address: Address, link: _Link) -> None:
-        """Keep a link whose exchange is complete, close any other."""
-        complete = (
-            link.connection.our_state is h11.DONE
-            and link.connection.their_state is h11.DONE
+        It is closed otherwise, and if the pool is full.
+        """
+        is_complete = (
+            pooled.connection.our_state is h11.DONE
+            and pooled.connection.their_state is h11.DONE
         )
         idle = self._idle_by_address[address]
-        if complete and len(idle) < MAX_IDLE_PER_PEER:
-            link.connection.start_next_cycle()
-            idle.append(link)
+        if is_complete and len(idle) < MAX_IDLE_PER_PEER:
+            pooled.connection.start_next_cycle()
+            idle.append(pooled)
         else:
-            link.stream.socket.close()
+            pooled.stream.socket.close()
 
 
-async def _send_request(link: _Link, address: Address, request: HttpRequest) -> None:
+async def _send_request(
+    pooled: _PooledConnection, address: Address, request: HttpRequest
+) -> None:
     header_by_name = {"host": str(address), **request.header_by_name}
     head = h11.Request(
         method=request.method,
@@ -148,23 +159,23 @@
         headers=encode_headers(header_by_name, request.body),
     )
     await send_all(
-        link.stream,
-        link.connection,
+        pooled.stream,
+        pooled.connection,
         [head, h11.Data(data=request.body), h11.EndOfMessage()],
     )
 
 
 async def _read_response(
-    link: _Link, on_response_start: OnResponseStart | None
+    pooled: _PooledConnection, on_response_start: OnResponseStart | None
 ) -> HttpResponse:
-    event = await read_event(link, link.connection)
+    event = await read_event(pooled, pooled.connection)
     while isinstance(event, h11.InformationalResponse):
-        event = await read_event(link, link.connection)
+        event = await read_event(pooled, pooled.connection)
     if not isinstance(event, h11.Response):
         raise h11.RemoteProtocolError(f"connection ended before a response: {event!r}")
     if on_response_start is not None:
         on_response_start(event.status_code)
-    body = await read_body(link, link.connection)
+    body = await read_body(pooled, pooled.connection)
     return HttpResponse(
         status=event.status_code,
         header_by_name=decode_headers(event.headers),
@@ -173,7 +184,7 @@
 
 
 def _is_refused(error: Exception) -> bool:
-    """Whether a failed connection was refused, and not given up without an answer."""
+    """Return whether the peer refused the connection, as opposed to a timeout."""
     causes: list[BaseException | None] = [error.__cause__]
     if isinstance(error.__cause__, BaseExceptionGroup):
         causes = list(error.__cause__.exceptions)
--- a/coltsfoottray/http/common.py
+++ b/coltsfoottray/http/common.py
@@ -1,4 +1,4 @@
-"""Messages and the h11 exchange that server and client share."""
+"""HTTP messages, and the h11 input and output shared by server and client."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
     "send_all",
 ]
 
-# Bodies are held whole, so that a cut-off answer is never passed on as complete.
+# Bodies are buffered, so that a truncated one is never passed on as complete.
 MAX_BODY_BYTES = 8 * 1024 * 1024
 _READ_BYTES = 64 * 1024
 DEFAULT_TIMEOUT = timedelta(seconds=30)
-# Longer than a lost packet takes to be sent again.
+# Longer than the retransmission of a lost packet takes.
 _IDLE_TIMEOUT = timedelta(seconds=1)
 
 Headers = Mapping[str, str]
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HttpRequest:
-    """A whole request; header names are in lower case."""
+    """A complete request; header names are in lower case."""
 
     method: str
     target: str
@@ -51,21 +51,22 @@
 
     @property
     def path(self) -> str:
-        """The path without its query."""
+        """Path of the target, without the query."""
         return urlsplit(self.target).path
 
     @property
     def query(self) -> dict[str, str]:
-        """The query's last value for each name."""
+        """Query parameters by name; of a repeated one, the last value."""
         return dict(parse_qsl(urlsplit(self.target).query))
 
     def decode(self, kind: type[T]) -> T:
-        """Return the JSON body as a `kind`.
+        """Decode the JSON body into an instance of `kind`.
 
         Raises
         ------
         InputError
-            If the body is not JSON or lacks a field; it names the field.
+            If the body is not valid JSON or does not match `kind`. The message names
+            the field at fault.
         """
         try:
             return msgspec.json.decode(self.body, type=kind)
@@ -77,7 +78,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HttpResponse:
-    """A whole response; header names are in lower case."""
+    """A complete response; header names are in lower case."""
 
     status: int
     header_by_name: Headers = field(default_factory=dict)
@@ -85,7 +86,7 @@
 
     @staticmethod
     def of_json(value: object, *, status: int = 200) -> HttpResponse:
-        """Return a response whose body is `value` in JSON."""
+        """Return a response with `value` as its JSON body."""
         return HttpResponse(
             status=status,
             header_by_name={"content-type": "application/json"},
@@ -98,7 +99,7 @@
 
 
 class HttpTransport(abc.ABC):
-    """Carries a request to an address and brings the response back."""
+    """Sends a request to an address and returns the response."""
 
     @abc.abstractmethod
     async def send(
@@ -109,35 +110,39 @@
         timeout: timedelta = DEFAULT_TIMEOUT,
         on_response_start: OnResponseStart | None = None,
     ) -> HttpResponse:
-        """Send `request` and return the whole response.
+        """Send `request` and return the complete response.
 
         Parameters
         ----------
         timeout : timedelta
-            How long to wait for the response to begin. One that has begun is
-            waited for as long as it keeps coming: given up at a fixed time, one
-            that is large for its link would not arrive at any attempt.
+            Limit on the time until the response starts. After that there is no
+            fixed limit while data keeps arriving: with one, a response that is
+            large for its link would fail at every attempt.
         on_begun : callable, optional
-            Called with the status as soon as the response has begun.
+            Called with the status code as soon as the response starts.
 
         Raises
         ------
         CommunicationError
-            With `ExchangeStep.CONNECT` only if nothing was sent: the caller may then
-            rely on the peer not having seen the request.
+            If the exchange does not complete. The step is `ExchangeStep.CONNECT`
+            only if nothing was sent, which proves that the peer has not seen the
+            request.
         """
 
 
-def extend_deadline(limit: trio.CancelScope) -> None:
-    """Let `limit` wait on for a peer of which something has just been heard."""
-    until = trio.current_time() + _IDLE_TIMEOUT.total_seconds()
-    limit.deadline = max(limit.deadline, until)
+def extend_deadline(cancel_scope: trio.CancelScope) -> None:
+    """Move the deadline of `cancel_scope` to at least the idle timeout from now.
+
+    Called whenever data arrives from the peer.
+    """
+    new_deadline = trio.current_time() + _IDLE_TIMEOUT.total_seconds()
+    cancel_scope.deadline = max(cancel_scope.deadline, new_deadline)
 
 
 async def read_event(
     stream: trio.abc.ReceiveStream, connection: h11.Connection
 ) -> h11.Event | type[h11.PAUSED]:
-    """Return the next event, reading from `stream` for as long as h11 needs."""
+    """Return the next h11 event, reading from `stream` while h11 needs data."""
     while True:
         event = connection.next_event()
         if event is not h11.NEED_DATA:
@@ -149,22 +154,23 @@
     stream: trio.abc.Stream, connection: h11.Connection, events: list[h11.Event]
 ) -> None:
     """Send `events` in one write."""
-    parts = [connection.send(event) or b"" for event in events]
-    await stream.send_all(b"".join(parts))
+    chunks = [connection.send(event) or b"" for event in events]
+    await stream.send_all(b"".join(chunks))
 
 
 async def read_body(
     stream: trio.abc.ReceiveStream, connection: h11.Connection
 ) -> bytes:
-    """Return the whole body.
+    """Return the complete body.
 
     Raises
     ------
     h11.RemoteProtocolError
-        If the peer closes before the announced end: a cut-off body is an error,
-        never a short answer.
+        If the peer closes the connection before the announced length is received,
+        so that a truncated body is never returned as complete, or if the body is
+        larger than `MAX_BODY_BYTES`.
     """
-    parts: list[bytes] = []
+    chunks: list[bytes] = []
     size = 0
     while True:
         event = await read_event(stream, connection)
@@ -172,22 +178,22 @@
             size += len(event.data)
             if size > MAX_BODY_BYTES:
                 raise h11.RemoteProtocolError(
-                    f"body over {MAX_BODY_BYTES} bytes", error_status_hint=413
+                    f"body is larger than {MAX_BODY_BYTES} bytes", error_status_hint=413
                 )
-            parts.append(bytes(event.data))
+            chunks.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            return b"".join(parts)
+            return b"".join(chunks)
         else:
-            raise h11.RemoteProtocolError(f"unexpected {event!r} in a body")
+            raise h11.RemoteProtocolError(f"unexpected {event!r} in the body")
 
 
 def decode_headers(headers: h11._headers.Headers) -> dict[str, str]:
-    """Return h11's header pairs by name, the last one winning."""
+    """Return the headers of h11 by name; of a repeated one, the last value."""
     return {name.decode("ascii"): value.decode("latin-1") for name, value in headers}
 
 
 def encode_headers(header_by_name: Headers, body: bytes) -> list[tuple[str, str]]:
-    """Return header pairs for h11 with the body's true length."""
+    """Return header pairs for h11 with the true `content-length` of `body`."""
     pairs = [(k, v) for k, v in header_by_name.items() if k != "content-length"]
     pairs.append(("content-length", str(len(body))))
     return pairs
--- a/coltsfoottray/http/problem.py
+++ b/coltsfoottray/http/problem.py
@@ -1,4 +1,4 @@
-"""Error bodies (RFC 9457 problem details) that tell outcomes apart."""
+"""Error responses (RFC 9457 problem details) that state the outcome of a request."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Outcome(enum.Enum):
-    """What a caller may conclude from an answer that is not a result."""
+    """What a caller may conclude from a response without a result."""
 
     INVALID = "invalid"
     FORBIDDEN = "forbidden"
@@ -40,16 +40,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Problem:
-    """An answer that carries no result.
+    """A response without a result.
 
     Parameters
     ----------
     outcome : Outcome
-        `NOT_RUN` is said only with proof; without proof it is `UNKNOWN`.
+        `NOT_RUN` only if it is proven that the request did not run, else `UNKNOWN`.
     detail : str
-        One sentence for the caller.
+        Explanation for the caller, one sentence.
     retry_after : timedelta, optional
-        Given where asking again is safe.
+        Set where it is safe to repeat the request.
     """
 
     outcome: Outcome
@@ -75,7 +75,7 @@
 
 
 async def call_handler(handler: Handler, request: HttpRequest) -> HttpResponse:
-    """Return the handler's answer, or status 400 with what was wrong."""
+    """Return the handler's response, or status 400 if it raises an `InputError`."""
     try:
         return await handler(request)
     except InputError as error:
--- a/coltsfoottray/http/server.py
+++ b/coltsfoottray/http/server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server: one task for each connection."""
+"""An HTTP/1.1 server with one trio task for each connection."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 __all__ = ["HttpServer"]
 
-_DRAIN_POLL_S = 0.05
+_DRAIN_POLL_INTERVAL_S = 0.05
 
 
 class HttpServer(Listener):
@@ -31,10 +31,11 @@
     Parameters
     ----------
     address : Address
-        Where to listen; port 0 takes a free one, see `bound_address`.
+        Where to listen. With port 0 the system chooses a free port, which is then
+        in `bound_address`.
     handler : Handler
-        Called once for each whole request. An `InputError` it raises is
-        answered with status 400, any other error with 500.
+        Called once for each complete request. An `InputError` that it raises is
+        answered with status 400, any other exception with 504.
     """
 
     def __init__(self, *, address: Address, handler: Handler) -> None:
@@ -55,9 +56,9 @@
         await trio.serve_listeners(self._serve_connection, listeners)
 
     async def stop(self) -> None:
-        """Wait until every request in flight has its whole answer."""
+        """Wait until all requests in flight have been answered completely."""
         while self._in_flight:
-            await trio.sleep(_DRAIN_POLL_S)
+            await trio.sleep(_DRAIN_POLL_INTERVAL_S)
 
     async def _serve_connection(self, stream: trio.SocketStream) -> None:
         connection = h11.Connection(h11.SERVER)
@@ -73,7 +74,7 @@
     async def _serve_request(
         self, stream: trio.SocketStream, connection: h11.Connection
     ) -> bool:
-        """Serve one request; return whether the connection can serve another."""
+        """Serve one request and return whether the connection can serve another."""
         event = await read_event(stream, connection)
         if not isinstance(event, h11.Request):
             return False
@@ -86,17 +87,17 @@
         )
         self._in_flight += 1
         try:
-            response = await self._answer(request)
+            response = await self._handle_request(request)
             await _send_response(stream, connection, response)
         finally:
             self._in_flight -= 1
         return connection.our_state is h11.DONE
 
-    async def _answer(self, request: HttpRequest) -> HttpResponse:
+    async def _handle_request(self, request: HttpRequest) -> HttpResponse:
         try:
             return await call_handler(self._handler, request)
         except Exception:
-            # A fault in one handler must not take the other connections down.
+            # An error in one handler must not close the other connections.
             eliot.write_traceback()
             return Problem(
                 outcome=Outcome.UNKNOWN, detail="internal error; see the log"
