--- a/coltsfoottray/kernel/__init__.py
+++ b/coltsfoottray/kernel/__init__.py
@@ -1,4 +1,4 @@
-"""The micro-kernel: services register and find each other by name."""
+"""The micro-kernel, where components are registered and found by name."""
 
 from __future__ import annotations
 
--- a/coltsfoottray/kernel/kernel.py
+++ b/coltsfoottray/kernel/kernel.py
@@ -1,4 +1,4 @@
-"""Registration, start order and stop order of services."""
+"""Registration of components, and start and stop order of services."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class Kernel:
-    """Holds the parts of one daemon by name.
+    """Holds the components of one daemon by name.
 
-    Parts that are `Service` instances are started in the order in which they
-    were registered and stopped in the reverse order. A test swaps a part by
-    registering its own under the same name first: the first one stays.
+    Components that are `Service` instances are started in the order in which they
+    were registered and stopped in the reverse order. The first registration of a
+    name counts: a test replaces a component by registering its own beforehand.
 
     Examples
     --------
@@ -30,30 +30,30 @@
     """
 
     def __init__(self) -> None:
-        self._part_by_name: dict[ServiceName, object] = {}
+        self._component_by_name: dict[ServiceName, object] = {}
         self._cancel_scope: trio.CancelScope | None = None
 
-    def register(self, name: ServiceName, part: object) -> None:
-        """Add `part` under `name` unless a test has put its own there."""
-        self._part_by_name.setdefault(name, part)
+    def register(self, name: ServiceName, component: object) -> None:
+        """Register `component` as `name`, unless the name is registered already."""
+        self._component_by_name.setdefault(name, component)
 
     def find(self, name: ServiceName, kind: type[T]) -> T:
-        """Return the part called `name`.
+        """Return the component registered as `name`.
 
         Raises
         ------
         InputError
-            If nothing of that name is registered, or it is of another type.
+            If no component has that name, or if it has another type.
         """
-        part = self._part_by_name.get(name)
-        if not isinstance(part, kind):
+        component = self._component_by_name.get(name)
+        if not isinstance(component, kind):
             raise InputError(
                 field=f"service {name!r}",
-                value=type(part).__name__,
+                value=type(component).__name__,
                 expected=f"a registered {kind.__name__}; "
-                f"registered are {sorted(self._part_by_name)}",
+                f"registered names: {sorted(self._component_by_name)}",
             )
-        return part
+        return component
 
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -66,15 +66,15 @@
             task_status.started()
 
     async def stop(self) -> None:
-        """Let each service finish, last started first, then end `run`."""
+        """Stop the services in reverse start order, then end `run`."""
         for service in reversed(self._services()):
             await service.stop()
         self.cancel()
 
     def cancel(self) -> None:
-        """End `run` without waiting for anything."""
+        """End `run` immediately, without calling `stop` on the services."""
         if self._cancel_scope is not None:
             self._cancel_scope.cancel()
 
     def _services(self) -> list[Service]:
-        return [p for p in self._part_by_name.values() if isinstance(p, Service)]
+        return [p for p in self._component_by_name.values() if isinstance(p, Service)]
--- a/coltsfoottray/kernel/service.py
+++ b/coltsfoottray/kernel/service.py
@@ -1,4 +1,4 @@
-"""What a service is."""
+"""The interface of a service."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 class Service(abc.ABC):
-    """A part of a daemon with a life of its own."""
+    """A component of a daemon that runs in a task of its own."""
 
     @abc.abstractmethod
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Run until cancelled; call `task_status.started()` once ready."""
+        """Run until cancelled, and call `task_status.started()` once ready."""
 
-    async def stop(self) -> None:  # noqa: B027  most services need no farewell
-        """Finish what must be finished before `run` is cancelled."""
+    async def stop(self) -> None:  # noqa: B027  most services need no cleanup
+        """Complete what must not be interrupted, before `run` is cancelled."""
 
 
 class Listener(Service):
-    """A server; `bound_address` is where it listens once it has started."""
+    """A server, which listens on `bound_address` once it has started."""
 
     bound_address: Address
