--- a/coltsfoottray/explain/__init__.py
+++ b/coltsfoottray/explain/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions, kept and logged so that each can be explained."""
+"""The journal of decisions, and the analysis of log files."""
 
 from __future__ import annotations
 
--- a/coltsfoottray/explain/journal.py
+++ b/coltsfoottray/explain/journal.py
@@ -1,4 +1,4 @@
-"""The journal of decisions of one process."""
+"""The journal of the decisions of one process."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 
 __all__ = ["Decision", "Journal", "RunnerUp", "Verb"]
 
-# At 400 bytes a decision this bounds the journal to some 8 MB of the 128 MB.
+# A decision takes about 400 bytes, which bounds the journal to about 8 MB of the
+# memory limit of 128 MB.
 MAX_DECISIONS = 20_000
 
 
@@ -33,23 +34,23 @@
 
 
 class RunnerUp(msgspec.Struct, frozen=True, kw_only=True):
-    """A choice that was not taken, and why."""
+    """An alternative that was not chosen, and why."""
 
     name: str
     why_not: str
 
 
 class Decision(msgspec.Struct, frozen=True, kw_only=True):
-    """One decision against the lists.
+    """One decision, and the version of the lists it is based on.
 
     Parameters
     ----------
     subject : str
-        The request's or task's id, beginning with the customer's.
+        The id of the request or task, which begins with that of the customer.
     lists_version : ListVersion
-        The version that was in force for the decision.
+        The version in force at the time of the decision.
     line : str
-        The lists' lines it was checked against.
+        The lines of the lists that the decision was checked against.
     """
 
     subject: str
@@ -63,7 +64,7 @@
 
 
 class Journal:
-    """Logs each decision as one structured line and keeps the newest."""
+    """Logs each decision as one structured line and stores the newest ones."""
 
     def __init__(self, *, clock: Clock, daemon: str, holder: ListHolder) -> None:
         self._clock = clock
@@ -81,7 +82,7 @@
         reason: str,
         runners_up: Sequence[RunnerUp] = (),
     ) -> None:
-        """Log and keep a decision, against the customer's lines now in force."""
+        """Log and store a decision, with the customer's lines that are in force."""
         lists = self._holder.current
         decision = Decision(
             subject=subject,
@@ -101,9 +102,9 @@
         )
 
     def explain(self, subject: str) -> list[Decision]:
-        """Return what was decided about `subject`, oldest first.
+        """Return the decisions about `subject`, oldest first.
 
-        `subject` is a whole id, or only the part behind the customer's name.
+        `subject` is a full id, or the part of it after the customer's name.
         """
         return [
             decision
--- a/coltsfoottray/explain/logfiles.py
+++ b/coltsfoottray/explain/logfiles.py
@@ -1,4 +1,4 @@
-"""What log files tell, after every process is gone."""
+"""Reads log files, which remain when the processes have ended."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 __all__ = ["LogLine", "LogLines", "read_lines", "read_lines_about"]
 
-# What eliot adds to find its own messages again.
-_LIBRARY_FIELDS = ("timestamp", "task_uuid", "task_level", "message_type")
+# Fields that eliot adds to each message, to identify it.
+_ELIOT_FIELDS = ("timestamp", "task_uuid", "task_level", "message_type")
 
 
 class LogLine(msgspec.Struct, frozen=True, kw_only=True):
-    """One line.
+    """One line of a log file.
 
     Parameters
     ----------
     source : str
-        The file's name, which stands for the process that wrote it.
+        Name of the file, which identifies the process that wrote the line.
     """
 
     at: datetime
@@ -32,14 +32,16 @@
 
 @dataclass(kw_only=True)
 class LogLines:
-    """Lines of several files, oldest first.
+    """The lines of several files, oldest first.
 
     Parameters
     ----------
     skipped : int
-        Lines that are no JSON objects, cut off by a crash perhaps.
+        Number of lines that are not JSON objects, for instance because a crash
+        truncated them.
     dropped : int
-        Lines that the processes say they did not write, for their number.
+        Number of lines that the processes dropped because of the limits on logging,
+        as they logged it.
     """
 
     lines: list[LogLine] = field(default_factory=list)
@@ -47,45 +49,45 @@
     dropped: int = 0
 
 
-def read_lines(files: Iterable[Path], *, naming: str = "") -> LogLines:
-    """Return the lines that hold the text `naming`, all if it is empty."""
-    found = LogLines()
+def read_lines(files: Iterable[Path], *, containing: str = "") -> LogLines:
+    """Return the lines that contain the text `containing`; all if it is empty."""
+    result = LogLines()
     for path in files:
         for text in path.read_text(errors="replace").splitlines():
-            if text and naming in text:
-                _take(found, path.name, text)
-    found.lines.sort(key=lambda line: line.at)
-    return found
+            if text and containing in text:
+                _parse_line(result, path.name, text)
+    result.lines.sort(key=lambda line: line.at)
+    return result
 
 
 def read_lines_about(subject: str, files: Iterable[Path]) -> list[LogLine]:
-    """Return the lines that name `subject` in any field, oldest first."""
-    return read_lines(files, naming=subject).lines
+    """Return the lines with `subject` in any field, oldest first."""
+    return read_lines(files, containing=subject).lines
 
 
-def _take(found: LogLines, source: str, text: str) -> None:
+def _parse_line(result: LogLines, source: str, text: str) -> None:
     try:
         message = msgspec.json.decode(text, type=dict[str, object])
     except msgspec.DecodeError:
-        found.skipped += 1
+        result.skipped += 1
         return
     event = str(message.get("message_type", ""))
     if event == "log:dropped":
-        found.dropped += _as_number(message.get("lines"))
+        result.dropped += _to_count(message.get("lines"))
         return
-    found.lines.append(
+    result.lines.append(
         LogLine(
-            at=datetime.fromtimestamp(_as_seconds(message.get("timestamp")), UTC),
+            at=datetime.fromtimestamp(_to_seconds(message.get("timestamp")), UTC),
             source=source,
             event=event,
-            fields={k: v for k, v in message.items() if k not in _LIBRARY_FIELDS},
+            fields={k: v for k, v in message.items() if k not in _ELIOT_FIELDS},
         )
     )
 
 
-def _as_seconds(stamp: object) -> float:
-    return float(stamp) if isinstance(stamp, int | float) else 0.0
+def _to_seconds(timestamp: object) -> float:
+    return float(timestamp) if isinstance(timestamp, int | float) else 0.0
 
 
-def _as_number(count: object) -> int:
+def _to_count(count: object) -> int:
     return count if isinstance(count, int) else 0
--- a/coltsfoottray/explain/losses.py
+++ b/coltsfoottray/explain/losses.py
@@ -1,8 +1,9 @@
-"""Where jobs' time went between their acceptance and their end.
+"""Attribution of jobs' time, from acceptance to end, to causes.
 
 A job ends with its last task, which waited for the last task of an earlier step, and
-so on back to the acceptance. Only what these tasks went through made the job as late
-as it was, so that each moment of a job belongs to one of them, and to one part.
+so on back to the acceptance. These tasks form the critical path: only their delays
+delay the job. Each moment of a job is therefore attributed to one task of the
+critical path, and to the part that the task spent it on.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 
 from coltsfoottray.explain.history import (
     Attempt,
+    AttemptOutcome,
     History,
     JobHistory,
-    Outcome,
     Span,
     TaskKey,
-    WaitNote,
+    WaitRecord,
 )
 
 __all__ = ["WINDOW", "JobLosses", "Losses", "Part", "find_losses"]
@@ -31,36 +32,36 @@
 
 
 class Part(enum.Enum):
-    """What a moment of a job was spent on."""
+    """What an interval of a job's time was spent on."""
 
     RUNNING = "running"
     STORE = "store"
-    """The table did not answer the scheduler, or an end was not stored yet."""
+    """The table did not answer the scheduler, or had not stored the end yet."""
     SCHEDULER = "scheduler"
-    """Nobody scheduled, or the scheduler had not come to it."""
+    """No scheduler was active, or it had not processed the task yet."""
     ROOM = "room"
     GOOD_PLACE = "good-place"
     TICKET = "ticket"
     START = "start"
-    """Placed, and not started yet."""
+    """The task was placed and had not started yet."""
     SLOWED = "slowed"
-    """The part of its speed that a filler was denied."""
+    """The share of full speed by which a filler was slowed down."""
     FAILED = "failed"
     LOST = "lost"
     STOPPED = "stopped"
     UNKNOWN = "unknown"
-    """No line tells."""
+    """No log line accounts for this time."""
 
 
-Seconds = dict[Part, float]
+SecondsByPart = dict[Part, float]
 
 _PART_BY_OUTCOME = {
-    Outcome.FAILED: Part.FAILED,
-    Outcome.LOST: Part.LOST,
-    Outcome.STOPPED: Part.STOPPED,
-    Outcome.REJECTED: Part.START,
+    AttemptOutcome.FAILED: Part.FAILED,
+    AttemptOutcome.LOST: Part.LOST,
+    AttemptOutcome.STOPPED: Part.STOPPED,
+    AttemptOutcome.REJECTED: Part.START,
 }
-_PART_BY_LACK = {
+_PART_BY_WAIT_REASON = {
     "room": Part.ROOM,
     "good-place": Part.GOOD_PLACE,
     "ticket": Part.TICKET,
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _Segment:
-    """A stretch of a job's time, with the shares of its parts."""
+    """An interval of a job's time, with the share of each part in it."""
 
     begin: datetime
     end: datetime
@@ -78,51 +79,56 @@
 
 @dataclass(kw_only=True)
 class JobLosses:
-    """One job's time by part, in seconds; the parts add up to all of it."""
+    """One job's time by part, in seconds; the parts add up to `total_s`."""
 
     id: str
     queue: str
     total_s: float
-    seconds_by_part: Seconds = field(default_factory=lambda: defaultdict(float))
+    seconds_by_part: SecondsByPart = field(default_factory=lambda: defaultdict(float))
 
     @property
     def lost_s(self) -> float:
-        """What was not spent on running."""
+        """Time in seconds that was not spent on running."""
         return self.total_s - self.seconds_by_part.get(Part.RUNNING, 0.0)
 
 
 @dataclass(kw_only=True)
 class Losses:
-    """All jobs' time.
+    """The time of all jobs by part.
 
     Parameters
     ----------
     seconds_by_window : dict
-        By queue and number of the 2 s since the first line: seconds by part.
+        Seconds by part, by queue and number of the window. Windows are 2 s long
+        (`WINDOW`) and counted from the first log line.
     """
 
     jobs: list[JobLosses] = field(default_factory=list)
-    seconds_by_window: dict[tuple[str, int], Seconds] = field(default_factory=dict)
+    seconds_by_window: dict[tuple[str, int], SecondsByPart] = field(
+        default_factory=dict
+    )
 
 
 def find_losses(history: History) -> Losses:
-    """Return where the time of each job went whose acceptance is told."""
+    """Return the time by part of each job whose acceptance was logged."""
     losses = Losses()
     for job in history.job_by_id.values():
-        if job.accepted is None:
+        if job.accepted_at is None:
             continue
-        found = JobLosses(
+        job_losses = JobLosses(
             id=job.id,
             queue=job.queue,
-            total_s=_seconds(job.accepted, job.ended or history.last),
+            total_s=_seconds(job.accepted_at, job.ended_at or history.last),
         )
-        for segment in _segments(job, job.accepted, history):
-            _add(losses, found, segment, history.first)
-        losses.jobs.append(found)
+        for segment in _job_segments(job, job.accepted_at, history):
+            _add_segment(losses, job_losses, segment, history.first)
+        losses.jobs.append(job_losses)
     return losses
 
 
-def _add(losses: Losses, job: JobLosses, segment: _Segment, first: datetime) -> None:
+def _add_segment(
+    losses: Losses, job: JobLosses, segment: _Segment, first: datetime
+) -> None:
     begin = segment.begin
     while begin < segment.end:
         number = (begin - first) // WINDOW
@@ -136,103 +142,108 @@
         begin = end
 
 
-def _segments(
-    job: JobHistory, accepted: datetime, history: History
+def _job_segments(
+    job: JobHistory, accepted_at: datetime, history: History
 ) -> Iterator[_Segment]:
-    """Yield the stretches of a job's time, in order and without gaps."""
-    end = job.ended or history.last
-    at = accepted
-    for key in _chain(job):
-        for segment in _clip(_stages(job, key, at, history), at, end):
+    """Yield the segments of a job's time, in order and without gaps."""
+    end = job.ended_at or history.last
+    at = accepted_at
+    for key in _critical_path(job):
+        for segment in _clip(_task_segments(job, key, at, history), at, end):
             yield segment
             at = segment.end
     if at < end:
-        # All tasks that are told of have ended: what is left is storing that.
+        # All logged tasks have ended; the remaining time is spent on storing the end.
         part = Part.STORE if job.attempts_by_task else Part.SCHEDULER
-        if job.ended is None:
+        if job.ended_at is None:
             part = Part.UNKNOWN
-        yield _whole(at, end, part)
+        yield _make_segment(at, end, part)
 
 
-def _chain(job: JobHistory) -> list[TaskKey]:
-    """Return the tasks that the job waited for, one of each step, in order."""
+def _critical_path(job: JobHistory) -> list[TaskKey]:
+    """Return the critical path: the last task of each step, in order of steps."""
     last_by_step: dict[tuple[int, int], TaskKey] = {}
     for key, attempts in job.attempts_by_task.items():
         step = key[:2]
         known = last_by_step.get(step)
-        if known is None or _end_of(attempts) > _end_of(job.attempts_by_task[known]):
+        if known is None or _end_order(attempts) > _end_order(
+            job.attempts_by_task[known]
+        ):
             last_by_step[step] = key
     for step in job.waits_by_step:
         last_by_step.setdefault(step, (*step, -1))
     return [last_by_step[step] for step in sorted(last_by_step)]
 
 
-def _end_of(attempts: Sequence[Attempt]) -> tuple[bool, datetime]:
-    """Return what orders tasks by their ends, those that have none last."""
+def _end_order(attempts: Sequence[Attempt]) -> tuple[bool, datetime]:
+    """Return the sort key of a task by its end; one that has not ended is last."""
     last = attempts[-1]
-    return last.ended is None, last.ended or last.placed
+    return last.ended_at is None, last.ended_at or last.placed_at
 
 
-def _stages(
+def _task_segments(
     job: JobHistory, key: TaskKey, ready: datetime, history: History
 ) -> Iterator[_Segment]:
-    """Yield what a task went through from its step's turn on."""
-    notes = job.waits_by_step.get(key[:2], [])
-    # Of a later occurrence it isn't told when it was due.
-    unseen = Part.UNKNOWN if key[0] else Part.SCHEDULER
+    """Yield the segments of a task, from `ready`, when its step may start."""
+    waits = job.waits_by_step.get(key[:2], [])
+    # The log does not say when a later occurrence was due.
+    default = Part.UNKNOWN if key[0] else Part.SCHEDULER
     at = ready
     for attempt in job.attempts_by_task.get(key, []):
-        yield from _waiting(at, attempt.placed, notes, unseen, history)
-        yield from _trying(attempt, history.last)
-        at = attempt.ended or history.last
-        unseen = Part.SCHEDULER
+        yield from _wait_segments(at, attempt.placed_at, waits, default, history)
+        yield from _attempt_segments(attempt, history.last)
+        at = attempt.ended_at or history.last
+        default = Part.SCHEDULER
     if not job.attempts_by_task.get(key):
-        yield from _waiting(at, history.last, notes, unseen, history)
+        yield from _wait_segments(at, history.last, waits, default, history)
 
 
-def _waiting(
+def _wait_segments(
     begin: datetime,
     end: datetime,
-    notes: Sequence[WaitNote],
-    unseen: Part,
+    waits: Sequence[WaitRecord],
+    default: Part,
     history: History,
 ) -> Iterator[_Segment]:
-    """Yield what a task waited for between its turn and its placement."""
+    """Yield the segments in which a task waited for its placement.
+
+    `default` is the part of time for which no reason was logged.
+    """
     if begin >= end:
         return
-    cuts = {begin, end}
-    for note in notes:
-        if begin < note.at < end:
-            cuts.add(note.at)
-    for span in [*history.without_table, *history.without_scheduler]:
-        cuts.update(moment for moment in span if begin < moment < end)
-    moments = sorted(cuts)
-    for here, there in itertools.pairwise(moments):
-        told = [note.lacks for note in notes if note.at <= here]
-        part = _PART_BY_LACK.get(told[-1], unseen) if told else unseen
-        if _covers(history.without_table, here, there):
+    boundaries = {begin, end}
+    for wait in waits:
+        if begin < wait.at < end:
+            boundaries.add(wait.at)
+    for span in [*history.table_outages, *history.scheduler_outages]:
+        boundaries.update(time for time in span if begin < time < end)
+    times = sorted(boundaries)
+    for start, stop in itertools.pairwise(times):
+        reasons = [wait.reason for wait in waits if wait.at <= start]
+        part = _PART_BY_WAIT_REASON.get(reasons[-1], default) if reasons else default
+        if _covers(history.table_outages, start, stop):
             part = Part.STORE
-        elif _covers(history.without_scheduler, here, there):
+        elif _covers(history.scheduler_outages, start, stop):
             part = Part.SCHEDULER
-        yield _whole(here, there, part)
+        yield _make_segment(start, stop, part)
 
 
-def _trying(attempt: Attempt, last: datetime) -> Iterator[_Segment]:
-    """Yield what an attempt went through."""
-    end = attempt.ended or last
-    if attempt.outcome in _PART_BY_OUTCOME and not attempt.lasts:
-        begin = attempt.started or attempt.placed
-        yield _whole(attempt.placed, begin, Part.START)
-        yield _whole(begin, end, _PART_BY_OUTCOME[attempt.outcome])
+def _attempt_segments(attempt: Attempt, last: datetime) -> Iterator[_Segment]:
+    """Yield the segments of an attempt, from its placement to its end."""
+    end = attempt.ended_at or last
+    if attempt.outcome in _PART_BY_OUTCOME and not attempt.is_service:
+        begin = attempt.started_at or attempt.placed_at
+        yield _make_segment(attempt.placed_at, begin, Part.START)
+        yield _make_segment(begin, end, _PART_BY_OUTCOME[attempt.outcome])
         return
-    if attempt.started is None:
-        part = Part.UNKNOWN if attempt.ended else Part.START
-        yield _whole(attempt.placed, end, part)
+    if attempt.started_at is None:
+        part = Part.UNKNOWN if attempt.ended_at else Part.START
+        yield _make_segment(attempt.placed_at, end, part)
         return
-    yield _whole(attempt.placed, attempt.started, Part.START)
-    paces = [(attempt.started, _FULL_PERCENT), *attempt.paces]
-    ends = [at for at, _ in paces[1:]] + [end]
-    for (begin, percent), until in zip(paces, ends, strict=True):
+    yield _make_segment(attempt.placed_at, attempt.started_at, Part.START)
+    speed_changes = [(attempt.started_at, _FULL_PERCENT), *attempt.speed_changes]
+    ends = [at for at, _ in speed_changes[1:]] + [end]
+    for (begin, percent), until in zip(speed_changes, ends, strict=True):
         speed = percent / _FULL_PERCENT
         shares = {Part.RUNNING: speed, Part.SLOWED: 1.0 - speed}
         yield _Segment(begin=begin, end=until, share_by_part=shares)
@@ -241,11 +252,14 @@
 def _clip(
     segments: Iterable[_Segment], at: datetime, end: datetime
 ) -> Iterator[_Segment]:
-    """Yield the segments in order, each from where the one before ended."""
+    """Yield the segments in order, cut so that each begins where the last one ended.
+
+    Gaps between them are filled with `Part.UNKNOWN`.
+    """
     for segment in segments:
         if segment.begin > at:
             begin = min(segment.begin, end)
-            yield _whole(at, begin, Part.UNKNOWN)
+            yield _make_segment(at, begin, Part.UNKNOWN)
             at = begin
         until = min(segment.end, end)
         if until > at:
@@ -253,8 +267,8 @@
             at = until
 
 
-def _whole(begin: datetime, end: datetime, part: Part) -> _Segment:
-    """Return a segment that was spent on one part."""
+def _make_segment(begin: datetime, end: datetime, part: Part) -> _Segment:
+    """Return a segment that was spent entirely on one part."""
     return _Segment(begin=begin, end=end, share_by_part={part: 1.0})
 
 
