--- a/coltsfoottray/cli/__init__.py
+++ b/coltsfoottray/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one module for each group of commands."""
+"""The command line, with one module for each group of commands."""
--- a/coltsfoottray/cli/common.py
+++ b/coltsfoottray/cli/common.py
@@ -1,4 +1,4 @@
-"""What the commands share."""
+"""Functions and options shared by the commands."""
 
 from __future__ import annotations
 
@@ -14,32 +14,34 @@
 from coltsfoottray.settings.models import parse_address
 from coltsfoottray.types import Address
 
-__all__ = ["EntryOption", "ask", "fail", "read_address"]
+__all__ = ["EntryOption", "fail", "parse_entry_address", "send_request"]
 
 _TIMEOUT = timedelta(seconds=10)
 
 EntryOption = Annotated[
-    str, typer.Option("--entry", help="An entry's HTTP address, IP:port.")
+    str, typer.Option("--entry", help="HTTP address of an entry, IP:port.")
 ]
 
 
 def fail(message: str, *, code: int = 1) -> NoReturn:
-    """End the command with `message`."""
+    """Print `message` to standard error and exit with `code`."""
     typer.echo(message, err=True)
     raise typer.Exit(code)
 
 
-def read_address(text: str) -> Address:
-    """Return an address given on the command line."""
+def parse_entry_address(text: str) -> Address:
+    """Parse the address in the option `--entry`, and exit if it is not valid."""
     try:
         return parse_address(text)
     except ValueError as error:
         fail(f"--entry: {error}", code=2)
 
 
-def ask(entry: str, method: str, target: str, body: bytes = b"") -> HttpResponse:
-    """Send one request to an entry, and end the command if that fails."""
-    address = read_address(entry)
+def send_request(
+    entry: str, method: str, target: str, body: bytes = b""
+) -> HttpResponse:
+    """Send a request to an entry and return the response; exit if it fails."""
+    address = parse_entry_address(entry)
     request = HttpRequest(method=method, target=target, body=body)
 
     async def send() -> HttpResponse:
--- a/coltsfoottray/cli/demo.py
+++ b/coltsfoottray/cli/demo.py
@@ -1,4 +1,4 @@
-"""The `demo` command: a whole deployment in one process, playing a trace."""
+"""The `demo` command, which plays a trace on a deployment in one process."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 
 def demo(
     trace: Annotated[
-        Path | None, typer.Option(help="A trace; by default each user's own.")
+        Path | None, typer.Option(help="A trace; by default that of each example user.")
     ] = None,
     deployment: Annotated[
-        Path | None, typer.Option(help="A deployment; by default Tregarth's.")
+        Path | None, typer.Option(help="A deployment; by default that of Tregarth.")
     ] = None,
-    seed: Annotated[int, typer.Option(help="Seed of the balancer's turns.")] = 1,
+    seed: Annotated[int, typer.Option(help="Seed of the load balancer's choices.")] = 1,
     as_json: Annotated[
-        bool, typer.Option("--json", help="Print only the last line.")
+        bool, typer.Option("--json", help="Print only the report in JSON.")
     ] = False,
     log_file: Annotated[
-        str | None, typer.Option(help="Write the daemons' log lines here.")
+        str | None, typer.Option(help="Write the daemons' log lines to this file.")
     ] = None,
 ) -> None:
     """Run entries, attendants and stand-ins in one process and play a trace."""
@@ -46,31 +46,31 @@
 
     if log_file is not None:
         start_logging(LogSettings(file=log_file))
-    sessions = _sessions(trace, deployment)
+    sessions = _make_sessions(trace, deployment)
 
-    def say(line: str) -> None:
+    def print_line(line: str) -> None:
         if not as_json:
             typer.echo(line)
 
-    reports = trio.run(play_sessions, sessions, seed, say)
+    reports = trio.run(play_sessions, sessions, seed, print_line)
     merged = merge_reports(reports)
     if not as_json:
-        _show(merged)
+        _print_report(merged)
     typer.echo(msgspec.json.encode(merged).decode())
     if not merged.is_clean:
         raise typer.Exit(1)
 
 
-def _sessions(trace: Path | None, deployment: Path | None) -> list[Session]:
+def _make_sessions(trace: Path | None, deployment: Path | None) -> list[Session]:
     from standins.session import Session
     from standins.trace import load_trace
 
     examples = Path(str(resources.files("standins"))) / "examples"
-    pairs = [(examples / f"{u}.yaml", examples / f"{u}.jsonl") for u in _USERS]
+    paths = [(examples / f"{user}.yaml", examples / f"{user}.jsonl") for user in _USERS]
     if trace is not None or deployment is not None:
-        pairs = [(deployment or pairs[0][0], trace or pairs[0][1])]
+        paths = [(deployment or paths[0][0], trace or paths[0][1])]
     sessions: list[Session] = []
-    for deployment_path, trace_path in pairs:
+    for deployment_path, trace_path in paths:
         events = load_trace(trace_path)
         if isinstance(events, Failure):
             _fail_all(trace_path.name, events.failure())
@@ -95,7 +95,7 @@
     fail("\n".join(f"{name}: {error}" for error in errors), code=2)
 
 
-def _show(report: Report) -> None:
+def _print_report(report: Report) -> None:
     for key, value in msgspec.to_builtins(report).items():
         if key != "latency_ms":
             typer.echo(f"  {key:<16}{value}")
--- a/coltsfoottray/cli/lists.py
+++ b/coltsfoottray/cli/lists.py
@@ -1,4 +1,4 @@
-"""Commands on the two lists."""
+"""Commands that show and edit the two lists."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 import typer
 import yaml
 
-from coltsfoottray.cli.common import EntryOption, ask, fail
-from coltsfoottray.cli.queries import read_status
+from coltsfoottray.cli.common import EntryOption, fail, send_request
+from coltsfoottray.cli.queries import fetch_status
 from coltsfoottray.errors import InputError
 from coltsfoottray.lists import Edit, EditRecord, ListName, Lists, apply_change
 from coltsfoottray.types import ListVersion
@@ -24,13 +24,13 @@
 
 @app.command()
 def show(entry: EntryOption = _DEFAULT_ENTRY) -> None:
-    """Show both lists as they are in force."""
-    typer.echo(_as_yaml(_read(entry)))
+    """Show the lists that are in force."""
+    typer.echo(_to_yaml(_fetch_lists(entry)))
 
 
 @app.command()
 def edit(
-    name: Annotated[ListName, typer.Argument(help="The list.")],
+    name: Annotated[ListName, typer.Argument(help="The list to edit.")],
     change: Annotated[
         str,
         typer.Argument(help="New lines as YAML, e.g. '{gold: {processors: 64}}'."),
@@ -38,20 +38,20 @@
     entry: EntryOption = _DEFAULT_ENTRY,
     based_on: Annotated[
         int | None,
-        typer.Option(help="The version you read; by default the newest."),
+        typer.Option(help="Version that the edit is based on; by default the newest."),
     ] = None,
     token: Annotated[
         str | None,
-        typer.Option(help="That of an edit whose outcome you were not told."),
+        typer.Option(help="To repeat an edit with an unknown outcome: its token."),
     ] = None,
 ) -> None:
     """Check an edit, show the difference, and commit it."""
     lines = yaml.safe_load(change)
     if not isinstance(lines, dict):
         fail(f"change: got {change!r}, expected lines as YAML", code=2)
-    lists = _read(entry)
+    lists = _fetch_lists(entry)
     version = lists.version if based_on is None else ListVersion(based_on)
-    made = Edit(
+    new_edit = Edit(
         list=name,
         change=lines,
         based_on=version,
@@ -59,9 +59,9 @@
         token=token or secrets.token_hex(8),
     )
     if version == lists.version:
-        _show_difference(lists, made)
-    typer.echo(f"token {made.token}, based on version {version}")
-    response = ask(entry, "POST", "/lists", msgspec.json.encode(made))
+        _show_difference(lists, new_edit)
+    typer.echo(f"token {new_edit.token}, based on version {version}")
+    response = send_request(entry, "POST", "/lists", msgspec.json.encode(new_edit))
     accepted = msgspec.json.decode(response.body, type=Lists)
     typer.echo(f"accepted as version {accepted.version}")
 
@@ -69,7 +69,7 @@
 @app.command()
 def history(entry: EntryOption = _DEFAULT_ENTRY) -> None:
     """Show every accepted edit."""
-    body = ask(entry, "GET", "/lists/history").body
+    body = send_request(entry, "GET", "/lists/history").body
     for record in msgspec.json.decode(body, type=list[EditRecord]):
         edit = record.edit
         typer.echo(
@@ -81,23 +81,23 @@
 @app.command()
 def status(entry: EntryOption = _DEFAULT_ENTRY) -> None:
     """Show which version each daemon has in force."""
-    answer = read_status(entry)
-    typer.echo(f"{answer.lists_version:>6}  {answer.entry}")
-    for daemon in answer.daemons:
+    reply = fetch_status(entry)
+    typer.echo(f"{reply.lists_version:>6}  {reply.entry}")
+    for daemon in reply.daemons:
         typer.echo(f"{daemon.lists_version:>6}  {daemon.daemon}")
 
 
-def _read(entry: str) -> Lists:
-    return msgspec.json.decode(ask(entry, "GET", "/lists").body, type=Lists)
+def _fetch_lists(entry: str) -> Lists:
+    return msgspec.json.decode(send_request(entry, "GET", "/lists").body, type=Lists)
 
 
 def _show_difference(lists: Lists, edit: Edit) -> None:
     try:
-        after = apply_change(lists, edit, version=ListVersion(lists.version + 1))
+        changed = apply_change(lists, edit, version=ListVersion(lists.version + 1))
     except InputError as error:
         fail(str(error), code=2)
-    before_lines = _as_yaml(lists).splitlines()
-    after_lines = _as_yaml(after).splitlines()
+    before_lines = _to_yaml(lists).splitlines()
+    after_lines = _to_yaml(changed).splitlines()
     for line in before_lines:
         if line not in after_lines:
             typer.echo(f"- {line}")
@@ -106,8 +106,8 @@
             typer.echo(f"+ {line}")
 
 
-def _as_yaml(lists: Lists) -> str:
-    """Return the lists with one line for each customer and each plan."""
+def _to_yaml(lists: Lists) -> str:
+    """Return the lists as YAML, with one line for each customer and each plan."""
     plain = msgspec.to_builtins(lists)
     lines = [f"version: {plain['version']}", "plans:"]
     for customer, plan in sorted(plain["plan_by_customer"].items()):
--- a/coltsfoottray/cli/main.py
+++ b/coltsfoottray/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command-line application."""
 
 from __future__ import annotations
 
--- a/coltsfoottray/cli/run.py
+++ b/coltsfoottray/cli/run.py
@@ -1,4 +1,4 @@
-"""Runs a daemon for jobs; a module of its own, so that it starts quickly."""
+"""The `run` command, in its own module so that it imports little and starts fast."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def run(
-    settings: Annotated[Path, typer.Argument(help="A settings file, YAML.")],
+    settings: Annotated[Path, typer.Argument(help="A settings file in YAML.")],
 ) -> None:
     """Run the entry or attendant for jobs that the settings describe."""
     loaded = _load(settings)
@@ -71,20 +71,23 @@
     *,
     task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Shut down on SIGTERM or SIGINT; check the settings anew on SIGHUP."""
-    expected = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-    with trio.open_signal_receiver(*expected) as signals:
+    """Shut down on SIGTERM or SIGINT, and check the settings again on SIGHUP."""
+    handled = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+    with trio.open_signal_receiver(*handled) as signals:
         task_status.started()
-        async for number in signals:
-            if number == signal.SIGHUP:
-                _note_reload(path)
+        async for signal_number in signals:
+            if signal_number == signal.SIGHUP:
+                _check_reloaded(path)
                 continue
             await daemon.shut_down()
             return
 
 
-def _note_reload(path: Path) -> None:
-    """Say what changed settings are worth; addresses hold until a restart."""
+def _check_reloaded(path: Path) -> None:
+    """Check the changed settings file and log the result.
+
+    The daemon keeps its settings; changed addresses need a restart.
+    """
     loaded = load_settings(path)
     if isinstance(loaded, Failure):
         errors = [str(error) for error in loaded.failure()]
