--- a/coltsfoottray/clock.py
+++ b/coltsfoottray/clock.py
@@ -1,4 +1,4 @@
-"""The clock as an interface, so that tests run on virtual time."""
+"""The clock interface, which lets tests run on virtual time."""
 
 from __future__ import annotations
 
@@ -18,36 +18,37 @@
 ]
 
 
-# The clocks of two VMs may run apart by this part of a duration, at the most.
+# Upper bound of the difference in rate between the clocks of two VMs, as a share of
+# the measured duration.
 CLOCK_RATE_MARGIN = 0.1
 _EPOCH = datetime(1970, 1, 1, tzinfo=UTC)
 _MICROSECOND = timedelta(microseconds=1)
 
 
 def as_microseconds(moment: datetime) -> int:
-    """Return `moment` as whole microseconds since 1970."""
+    """Return `moment` in whole microseconds since 1970-01-01 UTC."""
     return (moment - _EPOCH) // _MICROSECOND
 
 
 def as_milliseconds(moment: datetime) -> int:
-    """Return `moment` as whole milliseconds since 1970."""
+    """Return `moment` in whole milliseconds since 1970-01-01 UTC."""
     return as_microseconds(moment) // 1000
 
 
 class Clock(abc.ABC):
-    """What time it is, and how to wait.
+    """Reads the time and waits.
 
-    Two readings are kept apart: `now` is the calendar and may jump, `elapsed`
-    never does. Leases and deadlines use `elapsed` alone.
+    `now` is the wall-clock time, which may jump; `elapsed` is monotonic. Leases and
+    deadlines use only `elapsed`.
     """
 
     @abc.abstractmethod
     def now(self) -> datetime:
-        """Return the calendar time in UTC."""
+        """Return the wall-clock time in UTC."""
 
     @abc.abstractmethod
     def elapsed(self) -> timedelta:
-        """Return a monotonic reading; only differences mean anything."""
+        """Return a monotonic time, of which only differences are meaningful."""
 
     @abc.abstractmethod
     async def sleep(self, duration: timedelta) -> None:
@@ -55,7 +56,7 @@
 
 
 class TrioClock(Clock):
-    """The clock of the running trio loop, real or virtual."""
+    """The clock of the running trio loop, which is real or virtual."""
 
     def now(self) -> datetime:  # noqa: D102
         return datetime.now(UTC)
@@ -68,10 +69,10 @@
 
 
 class SuspendAwareClock(TrioClock):
-    """A clock whose `elapsed` also counts the time in which the VM is suspended.
+    """A clock whose `elapsed` includes the time during which the VM is suspended.
 
-    The usual monotonic clock stands still meanwhile: a lease measured by it would
-    seem to have seconds left that are long over for everybody else.
+    The usual monotonic clock stops while the VM is suspended. A lease measured by it
+    would still seem valid when it has expired for all other processes.
     """
 
     def elapsed(self) -> timedelta:  # noqa: D102
--- a/coltsfoottray/errors.py
+++ b/coltsfoottray/errors.py
@@ -1,4 +1,4 @@
-"""Errors that carry the step and the peer at which they arose."""
+"""Errors of the package, with the details that a caller needs to handle them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ExchangeStep(enum.Enum):
-    """How far an exchange with a peer had come when it failed."""
+    """The step of an exchange with a peer at which it failed."""
 
     CONNECT = "connect"
     SEND = "send"
@@ -18,26 +18,26 @@
 
 
 class ColtsfoottrayError(Exception):
-    """Base of every error this package raises."""
+    """Base class of all errors that this package raises."""
 
 
 @dataclass(kw_only=True)
 class CommunicationError(ColtsfoottrayError):
-    """An exchange with a peer that did not complete.
+    """Raised when an exchange with a peer does not complete.
 
     Parameters
     ----------
     step : ExchangeStep
         The step that failed. Only `ExchangeStep.CONNECT` proves that the peer has
-        seen nothing of the exchange.
+        not seen any of the exchange.
     peer : str
-        The peer's address or name.
+        Address or name of the peer.
     detail : str
-        What the library underneath said.
+        Error message of the underlying library.
     is_refused : bool
-        The peer's VM answered, and nobody listens there.
+        Whether the peer's VM refused the connection, because no process listens.
     received_bytes : int
-        How much of the answer had come.
+        Size of the part of the response that was received.
     """
 
     step: ExchangeStep
@@ -49,27 +49,27 @@
     def __str__(self) -> str:
         text = f"{self.step.value} to {self.peer} failed: {self.detail}"
         if self.received_bytes:
-            text += f" after {self.received_bytes} bytes of the answer"
+            text += f" after {self.received_bytes} bytes of the response"
         return text
 
     @property
     def is_unseen(self) -> bool:
-        """Whether the peer certainly saw nothing of the exchange."""
+        """Whether the peer has certainly not seen any of the exchange."""
         return self.step is ExchangeStep.CONNECT
 
 
 @dataclass(kw_only=True)
 class InputError(ColtsfoottrayError):
-    """Input that was refused.
+    """Raised when input is rejected.
 
     Parameters
     ----------
     field : str
-        The field at fault, as a dotted path.
+        Dotted path of the invalid field.
     value : object
-        What was given.
+        The value that was given.
     expected : str
-        What would be accepted.
+        Description of a valid value.
     """
 
     field: str
--- a/coltsfoottray/types.py
+++ b/coltsfoottray/types.py
@@ -1,4 +1,4 @@
-"""Shared ids, states and small value types."""
+"""Shared types of ids, states and values."""
 
 from __future__ import annotations
 
@@ -39,11 +39,11 @@
 ListVersion = NewType("ListVersion", int)
 
 NO_LISTS = ListVersion(0)
-"""The version before any edit was accepted."""
+"""Version of the lists before the first accepted edit."""
 
 
 class Role(enum.Enum):
-    """What a daemon stands beside."""
+    """The role of a daemon: an entry, or the attendant of an upstream or a worker."""
 
     ENTRY = "entry"
     UPSTREAM = "upstream"
@@ -51,7 +51,7 @@
 
 
 class TaskState(enum.Enum):
-    """Where a batch task stands; the table row is the only authority."""
+    """The state of a batch task; only its row in the table is authoritative."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -61,12 +61,12 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether no later state can follow."""
+        """Whether the state cannot change any more."""
         return self not in (TaskState.QUEUED, TaskState.RUNNING)
 
 
 class Address(msgspec.Struct, frozen=True, order=True):
-    """An IP number and a port.
+    """An IP address and a port.
 
     Examples
     --------
@@ -102,22 +102,23 @@
             accelerators=self.accelerators - other.accelerators,
         )
 
-    def fits_in(self, room: Resources) -> bool:
-        """Whether every dimension is at most that of `room`."""
+    def fits_in(self, capacity: Resources) -> bool:
+        """Return whether each dimension is at most that of `capacity`."""
         return (
-            self.processors <= room.processors + _ROUNDING
-            and self.memory_gb <= room.memory_gb + _ROUNDING
-            and self.accelerators <= room.accelerators
+            self.processors <= capacity.processors + _ROUNDING_TOLERANCE
+            and self.memory_gb <= capacity.memory_gb + _ROUNDING_TOLERANCE
+            and self.accelerators <= capacity.accelerators
         )
 
     @staticmethod
     def total(parts: list[Resources]) -> Resources:
-        """Return the sum of `parts`, nothing for an empty list."""
+        """Return the sum of `parts`; zero for an empty list."""
         total = Resources()
         for part in parts:
             total = total + part
         return total
 
 
-# Sums of fractions of a core drift in the last bits; a whole VM must still fit.
-_ROUNDING = 1e-9
+# Sums of fractions of a core have rounding errors, despite which a task that takes a
+# whole VM must fit.
+_ROUNDING_TOLERANCE = 1e-9
