--- a/coltsfoottray/logs.py
+++ b/coltsfoottray/logs.py
@@ -1,4 +1,4 @@
-"""Structured log lines by eliot, bounded in volume and never waited for."""
+"""Structured logging with eliot, limited in volume and without blocking."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 _LEVELS = ("debug", "info", "decisions")
 
-# A scheduler at 160 starts a second writes some 200 lines a second.
+# Limit on the rate of lines. A scheduler with 160 starts a second writes about 200.
 _LINES_PER_S = 400.0
-# A second of a storm is kept whole.
+# A burst of events that lasts one second is written completely.
 _BURST_LINES = 800.0
-# What a reader that is slow may leave unread here; then lines are dropped.
+# Limit on the lines that a slow reader has not read yet; beyond it, lines are dropped.
 _MAX_PENDING_BYTES = 256 * 1024
 
 
 def log_event(message_type: str, **fields: object) -> None:
-    """Write one structured line; `message_type` is `part:what-happened`."""
+    """Log one structured line; `message_type` has the form `component:event`."""
     eliot.log_message(message_type, **fields)
 
 
@@ -38,34 +38,34 @@
     file: str | None = None,
     default: IO[Any] | None = None,
 ) -> None:
-    """Send log lines where `settings`, or the two options, say.
+    """Start logging as `settings` say; `level` and `file` override them.
 
-    Without a file they go to `default`, which is standard error if not given.
+    Without a file, lines go to `default`, which is standard error if not given.
     """
-    chosen = level or settings.level
-    if chosen not in _LEVELS:
+    selected_level = level or settings.level
+    if selected_level not in _LEVELS:
         raise InputError(
-            field="--log-level", value=chosen, expected=f"one of {_LEVELS}"
+            field="--log-level", value=selected_level, expected=f"one of {_LEVELS}"
         )
-    name = file or settings.file
+    path = file or settings.file
     stream = default or sys.stderr
-    if name is not None:
-        stream = open(name, "a")  # noqa: SIM115
+    if path is not None:
+        stream = open(path, "a")  # noqa: SIM115
     writer = LineWriter(descriptor=stream.fileno(), monotonic=time.monotonic)
-    eliot.add_destinations(_as_destination(writer, chosen))
+    eliot.add_destinations(_make_destination(writer, selected_level))
 
 
 class LineWriter:
-    """Writes lines to a descriptor without ever waiting for its reader.
+    """Writes lines to a file descriptor without waiting for its reader.
 
-    A reader that stops, a full pipe or a storm of events would otherwise hold up
-    the decisions that are logged. Lines beyond the bounds are dropped and counted,
-    and the count is written as soon as there is room.
+    A reader that stops, a full pipe or a burst of events would otherwise delay the
+    decisions that are logged. Lines beyond the limits are dropped and counted, and
+    the count is written as soon as the limits allow it.
 
     Parameters
     ----------
     monotonic : callable
-        Returns a steady time in seconds.
+        Returns a monotonic time in seconds.
     """
 
     def __init__(self, *, descriptor: int, monotonic: Callable[[], float]) -> None:
@@ -73,24 +73,24 @@
         self._monotonic = monotonic
         self._pending = b""
         self._tokens = _BURST_LINES
-        self._filled = monotonic()
+        self._refilled_at = monotonic()
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
     def write(self, line: bytes) -> None:
-        """Write one line, or drop it."""
+        """Write one line, or drop it if a limit is exceeded."""
         now = self._monotonic()
-        refill = (now - self._filled) * _LINES_PER_S
+        refill = (now - self._refilled_at) * _LINES_PER_S
         self._tokens = min(_BURST_LINES, self._tokens + refill)
-        self._filled = now
+        self._refilled_at = now
         if self._tokens < 1 or len(self._pending) > _MAX_PENDING_BYTES:
             self.dropped += 1
             self._flush()
             return
         self._tokens -= 1
         if self.dropped:
-            note = {"message_type": "log:dropped", "lines": self.dropped}
-            self._pending += msgspec.json.encode(note) + b"\n"
+            dropped_line = {"message_type": "log:dropped", "lines": self.dropped}
+            self._pending += msgspec.json.encode(dropped_line) + b"\n"
             self.dropped = 0
         self._pending += line + b"\n"
         self._flush()
@@ -99,16 +99,18 @@
         try:
             written = os.write(self._descriptor, self._pending)
         except BlockingIOError:
-            # The reader is behind; what is pending goes out with a later line.
+            # The reader is slow: pending lines are written together with a later one.
             return
         self._pending = self._pending[written:]
 
 
-def _as_destination(writer: LineWriter, level: str) -> Callable[[dict[str, Any]], None]:
+def _make_destination(
+    writer: LineWriter, level: str
+) -> Callable[[dict[str, Any]], None]:
     def write(message: dict[str, Any]) -> None:
         if level == "decisions":
-            kind = str(message.get("message_type", ""))
-            if not kind.startswith("decision:"):
+            message_type = str(message.get("message_type", ""))
+            if not message_type.startswith("decision:"):
                 return
         writer.write(msgspec.json.encode(message, enc_hook=str))
 
--- a/coltsfoottray/metrics.py
+++ b/coltsfoottray/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and latency histograms of one process, as text."""
+"""Counters, gauges and latency histograms of one process, in Prometheus format."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 __all__ = ["Metrics"]
 
-_LOWEST_US = 1
-_HIGHEST_US = 3_600_000_000
-_DIGITS = 2
+_MIN_US = 1
+_MAX_US = 3_600_000_000
+_SIGNIFICANT_DIGITS = 2
 _PERCENTILES = (50, 90, 99, 100)
 _PREFIX = "coltsfoottray_"
 
@@ -26,9 +26,10 @@
 
 
 class Metrics:
-    """Takes measurements in and renders them.
+    """Records metrics and exports them.
 
-    Names are without unit and prefix; labels are few and of few values, never ids.
+    Names are given without unit and prefix. Labels are few, and have few values each:
+    ids are never labels.
     """
 
     def __init__(self) -> None:
@@ -37,27 +38,27 @@
         self._histograms: dict[str, dict[_Labels, HdrHistogram]] = {}
 
     def count(self, name: str, by: int = 1, **labels: str) -> None:
-        """Add to a counter."""
+        """Increment the counter `name` by `by`."""
         key = tuple(sorted(labels.items()))
         self._counts.setdefault(name, Counter())[key] += by
 
     def gauge(self, name: str, value: float, **labels: str) -> None:
-        """Set a value that goes up and down."""
+        """Set the gauge `name` to `value`."""
         key = tuple(sorted(labels.items()))
         self._gauges.setdefault(name, {})[key] = value
 
     def time(self, name: str, duration: timedelta, **labels: str) -> None:
-        """Add a duration to a histogram."""
+        """Add `duration` to the histogram `name`."""
         key = tuple(sorted(labels.items()))
         by_labels = self._histograms.setdefault(name, {})
         if key not in by_labels:
-            by_labels[key] = HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
-        value_us = max(_LOWEST_US, int(duration.total_seconds() * 1_000_000))
-        by_labels[key].record_value(min(value_us, _HIGHEST_US))
+            by_labels[key] = HdrHistogram(_MIN_US, _MAX_US, _SIGNIFICANT_DIGITS)
+        value_us = max(_MIN_US, int(duration.total_seconds() * 1_000_000))
+        by_labels[key].record_value(min(value_us, _MAX_US))
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Serve everything as text, at any path."""
-        # Imported on the first request: a daemon's start must not wait for it.
+        """Return all metrics as text; the path of the request is ignored."""
+        # Imported on the first request, because the import would delay the start.
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry(auto_describe=False)
@@ -69,7 +70,7 @@
         )
 
     def collect(self) -> Iterator[Metric]:
-        """Yield every metric, as the client library asks for them."""
+        """Yield all metrics; the Prometheus client calls this as a collector."""
         from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
         for name, counts in sorted(self._counts.items()):
@@ -96,7 +97,9 @@
                 values = [each for _, each in labels]
                 counter.add_metric(values, histogram.get_total_count())
                 for percentile in _PERCENTILES:
-                    at_us = histogram.get_value_at_percentile(percentile)
-                    seconds.add_metric([*values, str(percentile / 100)], at_us / 1e6)
+                    latency_us = histogram.get_value_at_percentile(percentile)
+                    seconds.add_metric(
+                        [*values, str(percentile / 100)], latency_us / 1e6
+                    )
             yield seconds
             yield counter
