--- a/tests/http/slow_answers.feature
+++ b/tests/http/slow_answers.feature
@@ -1,13 +1,14 @@
-Feature: The HTTP client tells a slow answer from none
+Feature: The HTTP client receives slow responses and detects stalled ones
 
-  Scenario: An answer comes for longer than it was given to begin
-    # It was given up while it was on its way, and every repetition of it as well.
-    Given a peer that sends 20 pieces of an answer, one every 40 ms
-    When the peer is asked for an answer that is to begin within 300 ms
+  Scenario: A response takes longer than the limit for its start
+    # Guards against a time limit on the whole response: a large one on a slow link would
+    # time out while it arrives, and so would each repetition.
+    Given a peer that sends a response in 20 pieces, one every 40 ms
+    When a request is sent that requires the response to start within 300 ms
     Then all 20 pieces are returned
 
-  Scenario: An answer stops on its way
-    # Whoever asked would wait for the rest for ever.
-    Given a peer that sends 2 pieces of 20 of an answer, then nothing
-    When the peer is asked for an answer that is to begin within 300 ms
-    Then the exchange fails, and the error names 2 pieces as received
+  Scenario: A response stalls
+    # Guards against a caller that waits for the rest without limit.
+    Given a peer that sends 2 of 20 pieces of a response, then nothing
+    When a request is sent that requires the response to start within 300 ms
+    Then the exchange fails, and the error reports 2 pieces as received
--- a/tests/steps/slow_answer_steps.py
+++ b/tests/steps/slow_answer_steps.py
@@ -1,4 +1,4 @@
-"""Steps on answers that come slowly, over real connections."""
+"""Steps on slow responses over real connections."""
 
 from __future__ import annotations
 
@@ -12,35 +12,37 @@
 from coltsfoottray.types import Address
 
 _PIECE = b"x" * 1000
-# Far longer than any client is to wait for the rest of an answer.
-_FOR_EVER_S = 30.0
+# Much longer than a client may wait for the rest of a response.
+_STALL_S = 30.0
 
 
-@given("a peer that sends {count:d} pieces of an answer, one every {pause:d} ms")
-def send_slowly(context, count, pause):
-    context.plan = (count, count, pause / 1000)
+@given("a peer that sends a response in {count:d} pieces, one every {pause:d} ms")
+def make_slow_peer(context, count, pause):
+    context.sending = (count, count, pause / 1000)
 
 
-@given("a peer that sends {sent:d} pieces of {count:d} of an answer, then nothing")
-def stop_midway(context, sent, count):
-    context.plan = (sent, count, 0.0)
+@given("a peer that sends {sent:d} of {count:d} pieces of a response, then nothing")
+def make_stalling_peer(context, sent, count):
+    context.sending = (sent, count, 0.0)
 
 
-@when("the peer is asked for an answer that is to begin within {milliseconds:d} ms")
-def ask(context, milliseconds):
-    context.outcome = trio.run(
-        _exchange, *context.plan, timedelta(milliseconds=milliseconds)
+@when(
+    "a request is sent that requires the response to start within {milliseconds:d} ms"
+)
+def send_request(context, milliseconds):
+    context.result = trio.run(
+        _exchange, *context.sending, timedelta(milliseconds=milliseconds)
     )
 
 
 @then("all {count:d} pieces are returned")
-def check_whole(context, count):
-    assert context.outcome == _PIECE * count, context.outcome
+def check_response(context, count):
+    assert context.result == _PIECE * count, context.result
 
 
-@then("the exchange fails, and the error names {count:d} pieces as received")
+@then("the exchange fails, and the error reports {count:d} pieces as received")
 def check_error(context, count):
-    error = context.outcome
+    error = context.result
     assert isinstance(error, CommunicationError), error
     assert error.step is ExchangeStep.RECEIVE, error
     assert count * len(_PIECE) <= error.received_bytes < (count + 1) * len(_PIECE)
@@ -58,7 +60,7 @@
                 await stream.send_all(_PIECE)
                 await trio.sleep(pause_s)
             if sent < count:
-                await trio.sleep(_FOR_EVER_S)
+                await trio.sleep(_STALL_S)
 
     async with trio.open_nursery() as nursery:
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
