--- a/tests/steps/log_steps.py
+++ b/tests/steps/log_steps.py
@@ -1,4 +1,4 @@
-"""Steps on log files and on the writing of lines."""
+"""Steps on reading log files and writing log lines."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     return context.folder
 
 
-def _line(stamp, event, **fields):
-    return json.dumps({"timestamp": stamp, "message_type": event, **fields})
+def _line(timestamp, event, **fields):
+    return json.dumps({"timestamp": timestamp, "message_type": event, **fields})
 
 
 @given('a log file "{name}" with lines about the jobs "{first}" and "{second}"')
@@ -33,15 +33,15 @@
     (_folder(context) / name).write_text("\n".join(lines) + "\n")
 
 
-@given('a log file "{name}" with an earlier line about "{job}" and half a line')
+@given('a log file "{name}" with an earlier line about "{job}" and a truncated line')
 def write_worker_log(context, name, job):
-    whole = _line(9.0, "worker:started", run=f"{job}.0.0.0#1")
-    half = _line(13.0, "worker:stopped", run=f"{job}.0.0.0#1")[:40]
-    (_folder(context) / name).write_text(f"{whole}\n{half}")
+    complete = _line(9.0, "worker:started", run=f"{job}.0.0.0#1")
+    truncated = _line(13.0, "worker:stopped", run=f"{job}.0.0.0#1")[:40]
+    (_folder(context) / name).write_text(f"{complete}\n{truncated}")
 
 
-@when('"{job}" is looked for in both')
-def look(context, job):
+@when('the lines about "{job}" are read from both files')
+def search(context, job):
     context.lines = read_lines_about(job, sorted(_folder(context).iterdir()))
 
 
@@ -72,7 +72,7 @@
         context.writer.write(b"x" * 100)
 
 
-@then("lines were dropped and nothing waited")
+@then("lines are dropped and no write blocks")
 def check_dropped(context):
     assert context.writer.dropped > 0
 
@@ -89,6 +89,6 @@
             context.writer.write(b"one more")
 
 
-@then("the number of dropped lines is in the pipe")
-def check_note(context):
+@then("the pipe contains the number of dropped lines")
+def check_dropped_count(context):
     assert b'"message_type":"log:dropped"' in context.read
--- a/tests/steps/losses_steps.py
+++ b/tests/steps/losses_steps.py
@@ -1,4 +1,4 @@
-"""Steps on where log lines say that jobs' time went."""
+"""Steps on attributing jobs' time by their log lines."""
 
 from __future__ import annotations
 
@@ -19,21 +19,24 @@
 from tests.support.job_world import job_id
 
 
-@given("two entries and {count:d} workers for jobs, whose lines are kept")
+@given("two entries and {count:d} workers for jobs, whose log lines are recorded")
 def make_logged_world(context, count):
     make_world(context, count)
-    context.kept = []
+    context.messages = []
 
-    def keep(message):
-        # Lines are stamped with the wall clock, and the world has its own.
-        context.kept.append({**message, "timestamp": context.world.now()})
+    def record(message):
+        # eliot stamps messages with the wall clock; the scenario runs on virtual time.
+        context.messages.append({**message, "timestamp": context.world.now()})
 
-    eliot.add_destinations(keep)
-    context.closers.append(lambda: eliot.remove_destination(keep))
+    eliot.add_destinations(record)
+    context.closers.append(lambda: eliot.remove_destination(record))
 
 
-@when('the scheduler dies just before the job "{label}" of 1 task of 1 s is handed in')
-def lose_scheduler(context, label):
+@when(
+    'the scheduler is killed just before the job "{label}" of 1 task of 1 s is '
+    "handed in"
+)
+def kill_scheduler(context, label):
     cell = context.world.cell
     name = cell.scheduler()
     context.world.kill_daemon(name)
@@ -43,7 +46,7 @@
 
 @given("log lines of a job whose task failed after 2 s and then took 3 s at half speed")
 def write_failed(context):
-    context.kept = [
+    context.messages = [
         _line(10.0, "decision:submit", job="aa", queue="q", verdict="done"),
         _line(10.0, "decision:place", step="aa.0.0", workers=["0@w"], waiting=0),
         _line(10.0, "worker:started", run="aa.0.0.0#1"),
@@ -59,7 +62,7 @@
 @given("log lines of a service that was stopped after 4 s and started again 1 s later")
 def write_service(context):
     place = {"step": "aa.0.0", "workers": ["0@w"], "waiting": 0, "lasts": True}
-    context.kept = [
+    context.messages = [
         _line(10.0, "decision:submit", job="aa", queue="q", verdict="done"),
         _line(10.0, "decision:place", **place),
         _line(10.0, "worker:started", run="aa.0.0.0#1"),
@@ -71,8 +74,8 @@
 
 
 @given("log lines of a job without those of its worker")
-def write_missing(context):
-    context.kept = [
+def write_without_worker(context):
+    context.messages = [
         _line(10.0, "decision:submit", job="aa", queue="q", verdict="done"),
         _line(10.0, "decision:place", step="aa.0.0", workers=["0@w"], waiting=0),
         _line(15.0, "decision:ends", ends=["aa.0.0.0#1 done"]),
@@ -80,46 +83,46 @@
     ]
 
 
-@given("half a line behind them")
-def add_half_line(context):
-    context.half = '{"timestamp": 15.1, "message_'
+@given("a truncated line after them")
+def add_truncated_line(context):
+    context.truncated_line = '{"timestamp": 15.1, "message_'
 
 
-@when("the time of jobs is told from them")
-def tell(context):
+@when("the time of jobs is computed from these lines")
+def compute_losses(context):
     lines = read_lines([_write_file(context)]).lines
     context.losses = find_losses(History(lines))
 
 
 def _write_file(context):
     path = Path(tempfile.mkdtemp()) / "process.log"
-    lines = [json.dumps(message, default=str) for message in context.kept]
-    path.write_text("\n".join([*lines, getattr(context, "half", "")]))
+    lines = [json.dumps(message, default=str) for message in context.messages]
+    path.write_text("\n".join([*lines, getattr(context, "truncated_line", "")]))
     return path
 
 
-@when('"losses" is called with their file')
+@when('"losses" is called with the log file')
 def call_command(context):
     _call(context, str(_write_file(context)))
 
 
-@when('"losses" is called with their file and "--json"')
-def call_for_machines(context):
+@when('"losses" is called with the log file and "--json"')
+def call_for_json(context):
     _call(context, str(_write_file(context)), "--json")
 
 
-@when('"losses" is called with their file and a picture to draw')
-def call_to_draw(context):
+@when('"losses" is called with the log file and a plot to write')
+def call_for_plot(context):
     file = _write_file(context)
-    context.picture = file.with_suffix(".svg")
-    _call(context, str(file), "--plot", str(context.picture))
+    context.plot_path = file.with_suffix(".svg")
+    _call(context, str(file), "--plot", str(context.plot_path))
 
 
-@then('the picture names the queue "{queue}" and the parts "{one}" and "{two}"')
-def check_picture(context, queue, one, two):
+@then('the plot names the queue "{queue}" and the parts "{one}" and "{two}"')
+def check_plot(context, queue, one, two):
     assert context.result.exit_code == 0, context.result.output
-    # The letters are drawn as outlines; each text stands beside them as a comment.
-    texts = context.picture.read_text()
+    # Texts are drawn as outlines; matplotlib adds each of them as a comment.
+    texts = context.plot_path.read_text()
     for text in (queue, one, two):
         assert f"<!-- {text} -->" in texts, text
 
@@ -145,21 +148,21 @@
     assert text in context.result.output, context.result.output
 
 
-@then('its object says that the job "{name}" spent {seconds:g} s on "{part}"')
-def check_object(context, name, seconds, part):
-    told = json.loads(context.result.output)
-    job = next(job for job in told["jobs"] if job["id"] == name)
+@then('the JSON object says that the job "{name}" spent {seconds:g} s on "{part}"')
+def check_json(context, name, seconds, part):
+    reported = json.loads(context.result.output)
+    job = next(job for job in reported["jobs"] if job["id"] == name)
     assert job["seconds_by_part"][part] == seconds, job
 
 
 @then(
-    'by the lines the job "{label}" lost {least:d} to {most:d} s to "{part}", '
-    "and ran {seconds:d} s"
+    'by the log lines the job "{label}" lost {min_s:d} to {max_s:d} s to "{part}" '
+    "and ran for {seconds:d} s"
 )
-def check_lost(context, label, least, most, part, seconds):
-    tell(context)
+def check_lost(context, label, min_s, max_s, part, seconds):
+    compute_losses(context)
     spent = _job(context, job_id(label)).seconds_by_part
-    assert least <= spent[Part(part)] <= most, dict(spent)
+    assert min_s <= spent[Part(part)] <= max_s, dict(spent)
     assert math.isclose(spent[Part.RUNNING], seconds, abs_tol=0.2), dict(spent)
 
 
@@ -178,21 +181,21 @@
     assert math.isclose(spent[Part(part)], seconds, abs_tol=1e-6), dict(spent)
 
 
-@then("the parts of every job add up to its time")
+@then("the parts of each job add up to its total time")
 def check_sums(context):
     assert context.losses.jobs
     for job in context.losses.jobs:
         total = sum(job.seconds_by_part.values())
         assert math.isclose(total, job.total_s, abs_tol=1e-6), job
     windows = context.losses.seconds_by_window.values()
-    told = sum(sum(seconds.values()) for seconds in windows)
+    reported = sum(sum(seconds.values()) for seconds in windows)
     total = sum(job.total_s for job in context.losses.jobs)
-    assert math.isclose(told, total, abs_tol=1e-6), (told, total)
+    assert math.isclose(reported, total, abs_tol=1e-6), (reported, total)
 
 
 def _job(context, name):
     return next(job for job in context.losses.jobs if job.id == name)
 
 
-def _line(stamp, event, **fields):
-    return {"timestamp": stamp, "message_type": event, **fields}
+def _line(timestamp, event, **fields):
+    return {"timestamp": timestamp, "message_type": event, **fields}
