--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests, in folders that mirror the packages."""
+"""Tests, in folders named after the packages."""
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -11,7 +11,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run all scenarios, or those that `arguments` name."""
+    """Run all scenarios, or only those that `arguments` select, and return a status."""
     known_red = read_known_red()
     status = behave_main(["--no-capture", *arguments])
     expected = [name for name in TALLY.failed if name in known_red]
@@ -22,7 +22,7 @@
         print(f"failed: {name}")
     repaired = [name for name in TALLY.passed if name in known_red]
     for name in repaired:
-        print(f"listed as known red, but passes; take it off the list: {name}")
+        print(f"listed as known red, but passes; remove it from the list: {name}")
     is_broken = bool(status) and not TALLY.failed
     failed = len(unexpected) + len(repaired) + is_broken
     print(f"{len(TALLY.passed) - len(repaired)} passed, {failed} failed")
@@ -30,7 +30,7 @@
 
 
 if __name__ == "__main__":
-    # The order of sets must not differ between two runs.
+    # Makes the iteration order of sets the same in all runs.
     if os.environ.get("PYTHONHASHSEED") != "0":
         os.environ["PYTHONHASHSEED"] = "0"
         os.execv(sys.executable, [sys.executable, "-m", "tests", *sys.argv[1:]])
--- a/tests/environment.py
+++ b/tests/environment.py
@@ -12,14 +12,14 @@
 
 
 def before_scenario(context, scenario):
-    """Make the order in which trio runs tasks the same in every run."""
+    """Make the order in which trio runs tasks reproducible."""
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
     trio._core._run._r.seed(0)
     context.closers = []
 
 
 def after_scenario(context, scenario):
-    """End what the scenario started and note its result."""
+    """Close what the scenario started and record its result."""
     for close in reversed(context.closers):
         close()
     result = TALLY.passed if scenario.status.name == "passed" else TALLY.failed
--- a/tests/steps/fuzz_steps.py
+++ b/tests/steps/fuzz_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run the state machines of `properties`."""
+"""Steps that run the state machines in `properties`."""
 
 from __future__ import annotations
 
@@ -34,29 +34,31 @@
     "runs given up early": planted.runs_given_up_early,
 }
 
-# A planted fault shows in about one of a hundred runs; it ends the search.
+# About one run in a hundred finds a planted fault; the first one ends the search.
 _PLANTED_RUNS = 600
 
 
 @then('the machine "{name}" finds nothing in {runs:d} runs of {steps:d} steps')
 def run_machine(context, name, runs, steps):
-    run_state_machine_as_test(MACHINE_BY_NAME[name], settings=_make(runs, steps))
+    run_state_machine_as_test(
+        MACHINE_BY_NAME[name], settings=_make_settings(runs, steps)
+    )
 
 
 @then('with the planted fault "{fault}" the machine "{name}" fails')
-def run_planted(context, fault, name):
+def run_with_fault(context, fault, name):
     with PLANTED_BY_NAME[fault]():
         try:
             run_state_machine_as_test(
                 MACHINE_BY_NAME[name],
-                settings=_make(_PLANTED_RUNS, 25, [Phase.generate]),
+                settings=_make_settings(_PLANTED_RUNS, 25, [Phase.generate]),
             )
         except AssertionError:
             return
-    raise AssertionError(f"the oracle did not see {fault!r}")
+    raise AssertionError(f"the oracle did not detect the planted fault {fault!r}")
 
 
-def _make(runs, steps, phases=(Phase.generate, Phase.shrink)):
+def _make_settings(runs, steps, phases=(Phase.generate, Phase.shrink)):
     return settings(
         max_examples=runs,
         stateful_step_count=steps,
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers of the steps."""
+"""Support code for the steps."""
--- a/tests/support/tally.py
+++ b/tests/support/tally.py
@@ -1,4 +1,4 @@
-"""Scenario results of one run, and the reds that are known."""
+"""Results of the scenarios of one run, and the list of known failures."""
 
 from __future__ import annotations
 
@@ -23,7 +23,10 @@
 
 
 def read_known_red() -> dict[str, str]:
-    """Return cause and issue by scenario name; a line is `name | cause | issue`."""
+    """Return the lines of KNOWN-RED.txt by scenario name.
+
+    A line has the form `name | cause | issue`.
+    """
     if not _KNOWN_RED_FILE.exists():
         return {}
     lines = [line for line in _KNOWN_RED_FILE.read_text().splitlines() if line.strip()]
