--- a/coltsfoottray/http/common.py
+++ b/coltsfoottray/http/common.py
@@ -118,7 +118,7 @@
             Limit on the time until the response starts. After that there is no
             fixed limit while data keeps arriving: with one, a response that is
             large for its link would fail at every attempt.
-        on_begun : callable, optional
+        on_response_start : callable, optional
             Called with the status code as soon as the response starts.
 
         Raises
