--- a/coltsfoottray/explain/history.py
+++ b/coltsfoottray/explain/history.py
@@ -91,8 +91,8 @@
 
     Parameters
     ----------
-    accepted, ended : datetime, optional
-        None if no line gives it.
+    accepted_at, ended_at : datetime, optional
+        None if no line says when.
     """
 
     id: str
@@ -110,6 +110,11 @@
     ----------
     lines : sequence of LogLine
         Lines of all processes, oldest first.
+
+    Attributes
+    ----------
+    first, last : datetime
+        Times of the first and the last line.
     """
 
     def __init__(self, lines: Sequence[LogLine]) -> None:
--- a/coltsfoottray/explain/losses.py
+++ b/coltsfoottray/explain/losses.py
@@ -1,9 +1,9 @@
-"""Attribution of jobs' time, from acceptance to end, to causes.
+"""Attribution of jobs' time, from acceptance to end, to what it was spent on.
 
 A job ends with its last task, which waited for the last task of an earlier step, and
 so on back to the acceptance. These tasks form the critical path: only their delays
 delay the job. Each moment of a job is therefore attributed to one task of the
-critical path, and to the part that the task spent it on.
+critical path and, by what happened to that task, to one `Part`.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
     START = "start"
     """The task was placed and had not started yet."""
     SLOWED = "slowed"
-    """The share of full speed by which a filler was slowed down."""
+    """The time that a filler lost because it ran below full speed."""
     FAILED = "failed"
     LOST = "lost"
     STOPPED = "stopped"
@@ -165,9 +165,9 @@
     last_by_step: dict[tuple[int, int], TaskKey] = {}
     for key, attempts in job.attempts_by_task.items():
         step = key[:2]
-        known = last_by_step.get(step)
-        if known is None or _end_order(attempts) > _end_order(
-            job.attempts_by_task[known]
+        last_key = last_by_step.get(step)
+        if last_key is None or _end_sort_key(attempts) > _end_sort_key(
+            job.attempts_by_task[last_key]
         ):
             last_by_step[step] = key
     for step in job.waits_by_step:
@@ -175,7 +175,7 @@
     return [last_by_step[step] for step in sorted(last_by_step)]
 
 
-def _end_order(attempts: Sequence[Attempt]) -> tuple[bool, datetime]:
+def _end_sort_key(attempts: Sequence[Attempt]) -> tuple[bool, datetime]:
     """Return the sort key of a task by its end; one that has not ended is last."""
     last = attempts[-1]
     return last.ended_at is None, last.ended_at or last.placed_at
@@ -207,7 +207,7 @@
 ) -> Iterator[_Segment]:
     """Yield the segments in which a task waited for its placement.
 
-    `default` is the part of time for which no reason was logged.
+    Time for which no reason was logged is attributed to `default`.
     """
     if begin >= end:
         return
