--- a/coltsfoottray/cli/demo.py
+++ b/coltsfoottray/cli/demo.py
@@ -23,7 +23,7 @@
 
 __all__ = ["demo"]
 
-_USERS = ("tregarth", "ubuntu-image-labs")
+_EXAMPLE_USERS = ("tregarth", "ubuntu-image-labs")
 
 
 def demo(
@@ -66,7 +66,10 @@
     from standins.trace import load_trace
 
     examples = Path(str(resources.files("standins"))) / "examples"
-    paths = [(examples / f"{user}.yaml", examples / f"{user}.jsonl") for user in _USERS]
+    paths = [
+        (examples / f"{user}.yaml", examples / f"{user}.jsonl")
+        for user in _EXAMPLE_USERS
+    ]
     if trace is not None or deployment is not None:
         paths = [(deployment or paths[0][0], trace or paths[0][1])]
     sessions: list[Session] = []
--- a/coltsfoottray/cli/lists.py
+++ b/coltsfoottray/cli/lists.py
@@ -42,7 +42,7 @@
     ] = None,
     token: Annotated[
         str | None,
-        typer.Option(help="To repeat an edit with an unknown outcome: its token."),
+        typer.Option(help="Token of an earlier edit of unknown outcome, to repeat it."),
     ] = None,
 ) -> None:
     """Check an edit, show the difference, and commit it."""
--- a/coltsfoottray/cli/run.py
+++ b/coltsfoottray/cli/run.py
@@ -77,13 +77,13 @@
         task_status.started()
         async for signal_number in signals:
             if signal_number == signal.SIGHUP:
-                _check_reloaded(path)
+                _check_settings(path)
                 continue
             await daemon.shut_down()
             return
 
 
-def _check_reloaded(path: Path) -> None:
+def _check_settings(path: Path) -> None:
     """Check the changed settings file and log the result.
 
     The daemon keeps its settings; changed addresses need a restart.
