--- a/coltsfoottray/errors.py
+++ b/coltsfoottray/errors.py
@@ -9,7 +9,7 @@
 
 
 class ExchangeStep(enum.Enum):
-    """The step of an exchange with a peer at which it failed."""
+    """The step at which an exchange with a peer failed."""
 
     CONNECT = "connect"
     SEND = "send"
--- a/coltsfoottray/logs.py
+++ b/coltsfoottray/logs.py
@@ -18,7 +18,8 @@
 
 _LEVELS = ("debug", "info", "decisions")
 
-# Limit on the rate of lines. A scheduler with 160 starts a second writes about 200.
+# Limit on the rate of lines. A scheduler that starts 160 tasks a second writes about
+# 200 lines a second.
 _LINES_PER_S = 400.0
 # A burst of events that lasts one second is written completely.
 _BURST_LINES = 800.0
