--- a/coltsfoottray/entry/batch.py
+++ b/coltsfoottray/entry/batch.py
@@ -90,13 +90,13 @@
             line = self._holder.current.line_of(customer)
             return Problem(
                 outcome=Outcome.FORBIDDEN, detail=f"not accepted: {reason}; {line}"
-            ).as_response()
+            ).to_response()
         outcome = await self._store.accept(spec)
         if isinstance(outcome, Failure):
             return Problem(
                 outcome=Outcome.CONFLICT,
                 detail=f"id {spec.task!r} is already in use for a different task",
-            ).as_response()
+            ).to_response()
         self._record_decision(spec, Verb.ACCEPT, "queued", "within the plan")
         await self._owner.notify_owner(spec.customer, spec.task)
         return HttpResponse.of_json(_make_answer(outcome.unwrap()), status=_ACCEPTED)
@@ -136,7 +136,9 @@
     def _record_decision(
         self, spec: TaskSpec, verb: Verb, choice: str, reason: str
     ) -> None:
-        self._journal.note(spec.task, spec.customer, verb, choice=choice, reason=reason)
+        self._journal.record(
+            spec.task, spec.customer, verb, choice=choice, reason=reason
+        )
 
 
 def _make_spec(customer: CustomerId, submission: TaskSubmission) -> TaskSpec:
@@ -175,4 +177,4 @@
 def _make_not_found_response(task: str) -> HttpResponse:
     return Problem(
         outcome=Outcome.NOT_FOUND, detail=f"no task {task!r} of this customer"
-    ).as_response()
+    ).to_response()
--- a/coltsfoottray/entry/callers.py
+++ b/coltsfoottray/entry/callers.py
@@ -128,7 +128,7 @@
 
     def _refuse(self, request: CallerRequest) -> HttpResponse:
         line = self._holder.current.line_of(request.customer)
-        self._journal.note(
+        self._journal.record(
             request.request,
             request.customer,
             Verb.REFUSE,
@@ -137,7 +137,7 @@
         )
         return Problem(
             outcome=Outcome.FORBIDDEN, detail=f"not run: {line}"
-        ).as_response()
+        ).to_response()
 
 
 def _parse_key(request: HttpRequest) -> str:
--- a/coltsfoottray/errors.py
+++ b/coltsfoottray/errors.py
@@ -1,15 +1,15 @@
-"""Errors that carry the step and the peer at which they arose."""
+"""Errors of the package, with the details that a caller needs to handle them."""
 
 from __future__ import annotations
 
 import enum
 from dataclasses import dataclass
 
-__all__ = ["ColtsfoottrayError", "CommunicationError", "InputError", "Step"]
+__all__ = ["ColtsfoottrayError", "CommunicationError", "ExchangeStep", "InputError"]
 
 
-class Step(enum.Enum):
-    """How far an exchange with a peer had come when it failed."""
+class ExchangeStep(enum.Enum):
+    """The step at which an exchange with a peer failed."""
 
     CONNECT = "connect"
     SEND = "send"
@@ -18,29 +18,29 @@
 
 
 class ColtsfoottrayError(Exception):
-    """Base of every error this package raises."""
+    """Base class of all errors that this package raises."""
 
 
 @dataclass(kw_only=True)
 class CommunicationError(ColtsfoottrayError):
-    """An exchange with a peer that did not complete.
+    """Raised when an exchange with a peer does not complete.
 
     Parameters
     ----------
-    step : Step
-        The step that failed. Only `Step.CONNECT` proves that the peer has
-        seen nothing of the exchange.
+    step : ExchangeStep
+        The step that failed. Only `ExchangeStep.CONNECT` proves that the peer has
+        not seen any of the exchange.
     peer : str
-        The peer's address or name.
+        Address or name of the peer.
     detail : str
-        What the library underneath said.
+        Error message of the underlying library.
     is_refused : bool
-        The peer's VM answered, and nobody listens there.
+        Whether the peer's VM refused the connection, because no process listens.
     received_bytes : int
-        How much of the answer had come.
+        Size of the part of the response that was received.
     """
 
-    step: Step
+    step: ExchangeStep
     peer: str
     detail: str
     is_refused: bool = False
@@ -49,27 +49,27 @@
     def __str__(self) -> str:
         text = f"{self.step.value} to {self.peer} failed: {self.detail}"
         if self.received_bytes:
-            text += f" after {self.received_bytes} bytes of the answer"
+            text += f" after {self.received_bytes} bytes of the response"
         return text
 
     @property
     def is_unseen(self) -> bool:
-        """Whether the peer certainly saw nothing of the exchange."""
-        return self.step is Step.CONNECT
+        """Whether the peer has certainly not seen any of the exchange."""
+        return self.step is ExchangeStep.CONNECT
 
 
 @dataclass(kw_only=True)
 class InputError(ColtsfoottrayError):
-    """Input that was refused.
+    """Raised when input is rejected.
 
     Parameters
     ----------
     field : str
-        The field at fault, as a dotted path.
+        Dotted path of the invalid field.
     value : object
-        What was given.
+        The value that was given.
     expected : str
-        What would be accepted.
+        Description of a valid value.
     """
 
     field: str
--- a/coltsfoottray/http/problem.py
+++ b/coltsfoottray/http/problem.py
@@ -1,4 +1,4 @@
-"""Error bodies (RFC 9457 problem details) that tell outcomes apart."""
+"""Error responses (RFC 9457 problem details) that state the outcome of a request."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from coltsfoottray.errors import InputError
 from coltsfoottray.http.common import Handler, HttpRequest, HttpResponse
 
-__all__ = ["Outcome", "Problem", "answer_or_refuse"]
+__all__ = ["Outcome", "Problem", "call_handler"]
 
 
 class Outcome(enum.Enum):
-    """What a caller may conclude from an answer that is not a result."""
+    """What a caller may conclude from a response without a result."""
 
     INVALID = "invalid"
     FORBIDDEN = "forbidden"
@@ -40,23 +40,23 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Problem:
-    """An answer that carries no result.
+    """A response without a result.
 
     Parameters
     ----------
     outcome : Outcome
-        `NOT_RUN` is said only with proof; without proof it is `UNKNOWN`.
+        `NOT_RUN` only if it is proven that the request did not run, else `UNKNOWN`.
     detail : str
-        One sentence for the caller.
+        Explanation for the caller, one sentence.
     retry_after : timedelta, optional
-        Given where asking again is safe.
+        Set where it is safe to repeat the request.
     """
 
     outcome: Outcome
     detail: str
     retry_after: timedelta | None = None
 
-    def as_response(self) -> HttpResponse:
+    def to_response(self) -> HttpResponse:
         """Return the problem as an HTTP response."""
         header_by_name = {"content-type": "application/problem+json"}
         if self.retry_after is not None:
@@ -74,9 +74,9 @@
         return HttpResponse(status=status, header_by_name=header_by_name, body=body)
 
 
-async def answer_or_refuse(handler: Handler, request: HttpRequest) -> HttpResponse:
-    """Return the handler's answer, or status 400 with what was wrong."""
+async def call_handler(handler: Handler, request: HttpRequest) -> HttpResponse:
+    """Return the handler's response, or status 400 if it raises an `InputError`."""
     try:
         return await handler(request)
     except InputError as error:
-        return Problem(outcome=Outcome.INVALID, detail=str(error)).as_response()
+        return Problem(outcome=Outcome.INVALID, detail=str(error)).to_response()
--- a/coltsfoottray/http/server.py
+++ b/coltsfoottray/http/server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server: one task for each connection."""
+"""An HTTP/1.1 server with one trio task for each connection."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
     Handler,
     HttpRequest,
     HttpResponse,
-    as_header_by_name,
-    as_header_pairs,
+    decode_headers,
+    encode_headers,
     read_body,
     read_event,
     send_all,
 )
-from coltsfoottray.http.problem import Outcome, Problem, answer_or_refuse
+from coltsfoottray.http.problem import Outcome, Problem, call_handler
 from coltsfoottray.kernel import Listener
 from coltsfoottray.types import Address
 
 __all__ = ["HttpServer"]
 
-_DRAIN_POLL_S = 0.05
+_DRAIN_POLL_INTERVAL_S = 0.05
 
 
 class HttpServer(Listener):
@@ -31,17 +31,18 @@
     Parameters
     ----------
     address : Address
-        Where to listen; port 0 takes a free one, see `bound`.
+        Where to listen. With port 0 the system chooses a free port, which is then
+        in `bound_address`.
     handler : Handler
-        Called once for each whole request. An `InputError` it raises is
-        answered with status 400, any other error with 500.
+        Called once for each complete request. An `InputError` that it raises is
+        answered with status 400, any other exception with 504.
     """
 
     def __init__(self, *, address: Address, handler: Handler) -> None:
         self._address = address
         self._handler = handler
         self._in_flight = 0
-        self.bound = address
+        self.bound_address = address
 
     async def run(  # noqa: D102
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -50,14 +51,14 @@
             self._address.port, host=self._address.host
         )
         port = listeners[0].socket.getsockname()[1]
-        self.bound = Address(host=self._address.host, port=port)
+        self.bound_address = Address(host=self._address.host, port=port)
         task_status.started()
         await trio.serve_listeners(self._serve_connection, listeners)
 
     async def stop(self) -> None:
-        """Wait until every request in flight has its whole answer."""
+        """Wait until all requests in flight have been answered completely."""
         while self._in_flight:
-            await trio.sleep(_DRAIN_POLL_S)
+            await trio.sleep(_DRAIN_POLL_INTERVAL_S)
 
     async def _serve_connection(self, stream: trio.SocketStream) -> None:
         connection = h11.Connection(h11.SERVER)
@@ -73,7 +74,7 @@
     async def _serve_request(
         self, stream: trio.SocketStream, connection: h11.Connection
     ) -> bool:
-        """Serve one request; return whether the connection can serve another."""
+        """Serve one request and return whether the connection can serve another."""
         event = await read_event(stream, connection)
         if not isinstance(event, h11.Request):
             return False
@@ -81,26 +82,26 @@
         request = HttpRequest(
             method=event.method.decode("ascii"),
             target=event.target.decode("ascii"),
-            header_by_name=as_header_by_name(event.headers),
+            header_by_name=decode_headers(event.headers),
             body=body,
         )
         self._in_flight += 1
         try:
-            response = await self._answer(request)
+            response = await self._handle_request(request)
             await _send_response(stream, connection, response)
         finally:
             self._in_flight -= 1
         return connection.our_state is h11.DONE
 
-    async def _answer(self, request: HttpRequest) -> HttpResponse:
+    async def _handle_request(self, request: HttpRequest) -> HttpResponse:
         try:
-            return await answer_or_refuse(self._handler, request)
+            return await call_handler(self._handler, request)
         except Exception:
-            # A fault in one handler must not take the other connections down.
+            # An error in one handler must not close the other connections.
             eliot.write_traceback()
             return Problem(
                 outcome=Outcome.UNKNOWN, detail="internal error; see the log"
-            ).as_response()
+            ).to_response()
 
 
 async def _send_response(
@@ -108,7 +109,7 @@
 ) -> None:
     head = h11.Response(
         status_code=response.status,
-        headers=as_header_pairs(response.header_by_name, response.body),
+        headers=encode_headers(response.header_by_name, response.body),
     )
     await send_all(
         stream, connection, [head, h11.Data(data=response.body), h11.EndOfMessage()]
@@ -124,6 +125,6 @@
         return
     problem = Problem(outcome=Outcome.INVALID, detail=str(error))
     try:
-        await _send_response(stream, connection, problem.as_response())
+        await _send_response(stream, connection, problem.to_response())
     except (trio.BrokenResourceError, h11.LocalProtocolError):
         return
--- a/coltsfoottray/peers/grpc.py
+++ b/coltsfoottray/peers/grpc.py
@@ -15,7 +15,7 @@
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 from grpclib.server import Server, Stream
 
-from coltsfoottray.errors import CommunicationError, Step
+from coltsfoottray.errors import CommunicationError, ExchangeStep
 from coltsfoottray.kernel import Listener, Service
 from coltsfoottray.peers.common import Call, CallHandlers, PeerClient, Reply, Request
 from coltsfoottray.types import Address
@@ -71,13 +71,14 @@
 class GrpcPeerServer(Listener):
     """Serves peer calls on `address`.
 
-    With port 0 the system selects a free port; `bound` holds the actual address.
+    With port 0 the system selects a free port; `bound_address` holds the actual
+    address.
     """
 
     def __init__(self, *, address: Address, handlers: CallHandlers) -> None:
         self._address = address
         self._handlers = handlers
-        self.bound = address
+        self.bound_address = address
 
     async def run(  # noqa: D102
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -88,7 +89,7 @@
             await start(self._address.host, self._address.port)
             sockets = server._server.sockets  # type: ignore[union-attr]
             port = sockets[0].getsockname()[1]
-            self.bound = Address(host=self._address.host, port=port)
+            self.bound_address = Address(host=self._address.host, port=port)
             task_status.started()
             try:
                 await trio.sleep_forever()
@@ -128,13 +129,13 @@
         method = UnaryUnaryMethod(
             channel, call.path, call.request_type, call.reply_type
         )
-        step = Step.RECEIVE
+        step = ExchangeStep.RECEIVE
         try:
             with trio.fail_after(timeout.total_seconds()):
                 try:
                     await trio_asyncio.aio_as_trio(channel.__connect__)()
                 except OSError:
-                    step = Step.CONNECT
+                    step = ExchangeStep.CONNECT
                     raise
                 return await trio_asyncio.aio_as_trio(method)(request)  # type: ignore
         except (OSError, GRPCError, StreamTerminatedError, trio.TooSlowError) as error:
--- a/coltsfoottray/peers/relay.py
+++ b/coltsfoottray/peers/relay.py
@@ -18,9 +18,9 @@
 import trio
 
 from coltsfoottray.clock import Clock
-from coltsfoottray.errors import CommunicationError, Step
+from coltsfoottray.errors import CommunicationError, ExchangeStep
 from coltsfoottray.http import HttpRequest, HttpResponse, HttpTransport
-from coltsfoottray.http.common import DEFAULT_TIMEOUT, OnBegun
+from coltsfoottray.http.common import DEFAULT_TIMEOUT, OnResponseStart
 from coltsfoottray.logs import log_event
 from coltsfoottray.peers.common import Call, PeerClient
 from coltsfoottray.types import Address
@@ -121,13 +121,13 @@
         request: HttpRequest,
         *,
         timeout: timedelta = DEFAULT_TIMEOUT,
-        on_begun: OnBegun | None = None,
+        on_response_start: OnResponseStart | None = None,
     ) -> HttpResponse:
         response = await self._send_direct_or_relayed(address, request, timeout)
-        if on_begun is not None:
+        if on_response_start is not None:
             # The callback runs only for the complete response: until then, it is not
             # certain which of a direct and a relayed request will succeed.
-            on_begun(response.status)
+            on_response_start(response.status)
         return response
 
     async def _send_direct_or_relayed(
@@ -191,7 +191,11 @@
 
         relay_scope = trio.CancelScope()
         send_direct = partial(
-            self._direct.send, address, request, timeout=timeout, on_begun=stop_relaying
+            self._direct.send,
+            address,
+            request,
+            timeout=timeout,
+            on_response_start=stop_relaying,
         )
         async with trio.open_nursery() as nursery:
             nursery.start_soon(collect, send_direct)
@@ -242,7 +246,9 @@
             if reply.is_unseen:
                 return None
             raise CommunicationError(
-                step=Step.RECEIVE, peer=f"table through {relay}", detail="no response"
+                step=ExchangeStep.RECEIVE,
+                peer=f"table through {relay}",
+                detail="no response",
             )
         if reply.status in _REJECTED_STATUSES:
             self._pause_relay(f"relay {relay} got status {reply.status} from the table")
--- a/coltsfoottray/requests/dispatcher.py
+++ b/coltsfoottray/requests/dispatcher.py
@@ -339,7 +339,7 @@
         self._record_decision(request, Verb.REFUSE, choice="not run", reason=reason)
         return Problem(
             outcome=Outcome.NOT_RUN, detail=reason, retry_after=RETRY_AFTER
-        ).as_response()
+        ).to_response()
 
     def _unknown(self, request: CallerRequest, reason: str) -> HttpResponse:
         self._record_decision(
@@ -350,7 +350,7 @@
             outcome=Outcome.UNKNOWN,
             detail=reason,
             retry_after=RETRY_AFTER if is_safe else None,
-        ).as_response()
+        ).to_response()
 
     def _record_decision(
         self,
@@ -361,7 +361,7 @@
         reason: str,
         runners_up: Sequence[RunnerUp] = (),
     ) -> None:
-        self._journal.note(
+        self._journal.record(
             request.request,
             request.customer,
             verb,
--- a/standins/cell.py
+++ b/standins/cell.py
@@ -231,7 +231,7 @@
         process = ProcessHandle()
         self.process_by_name[name] = process
         await self._nursery.start(_run_daemon, server, process.scope)
-        return server.bound
+        return server.bound_address
 
     async def _write_lists(self, extra_customers: Iterable[str]) -> None:
         table = HttpTable(
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -14,7 +14,7 @@
 from coltsfoottray.clock import Clock, TrioClock
 from coltsfoottray.daemons.common import CLOCK, LISTENERS, PEERS, RANDOM, TRANSPORT
 from coltsfoottray.daemons.listeners import ListenerFactory, SocketListeners
-from coltsfoottray.errors import CommunicationError, Step
+from coltsfoottray.errors import CommunicationError, ExchangeStep
 from coltsfoottray.http import (
     Handler,
     HttpClient,
@@ -22,8 +22,8 @@
     HttpResponse,
     HttpTransport,
 )
-from coltsfoottray.http.common import DEFAULT_TIMEOUT, OnBegun
-from coltsfoottray.http.problem import answer_or_refuse
+from coltsfoottray.http.common import DEFAULT_TIMEOUT, OnResponseStart
+from coltsfoottray.http.problem import call_handler
 from coltsfoottray.kernel import Kernel, Listener
 from coltsfoottray.peers import Call, CallHandlers, PeerClient
 from coltsfoottray.types import Address
@@ -188,7 +188,7 @@
         address: Address,
         message: Any,
         timeout: timedelta,
-        on_begun: OnBegun | None = None,
+        on_response_start: OnResponseStart | None = None,
     ) -> Any:
         """Send `message` to `address` over one connection and return the reply.
 
@@ -197,7 +197,7 @@
         link = self._link_by_ends.setdefault((sender, address), _Link())
         try:
             return await self._exchange_on(
-                link, sender, address, message, timeout, on_begun
+                link, sender, address, message, timeout, on_response_start
             )
         except CommunicationError:
             if self._link_by_ends.get((sender, address)) is link:
@@ -211,14 +211,14 @@
         address: Address,
         message: Any,
         timeout: timedelta,
-        on_begun: OnBegun | None,
+        on_response_start: OnResponseStart | None,
     ) -> Any:
         await self.faults(sender).running.wait()
         await trio.sleep(_LATENCY_S)
         listener = self.listener_by_address.get(address)
         if listener is None:
             raise CommunicationError(
-                step=Step.CONNECT,
+                step=ExchangeStep.CONNECT,
                 peer=str(address),
                 detail="no listener at this address",
                 is_refused=True,
@@ -233,15 +233,17 @@
             await pending.done.wait()
             if link in self.silent:
                 await trio.sleep_forever()
-            if on_begun is not None and isinstance(pending.reply, HttpResponse):
-                on_begun(pending.reply.status)
+            if on_response_start is not None and isinstance(
+                pending.reply, HttpResponse
+            ):
+                on_response_start(pending.reply.status)
             await self.faults(sender).link.receive(_size(pending.reply), limit)
             is_complete = True
             await self.faults(sender).running.wait()
         if pending.error is not None:
-            raise _error(Step.RECEIVE, address, pending.error)
+            raise _error(ExchangeStep.RECEIVE, address, pending.error)
         if link in self.silent or not is_complete:
-            raise _error(Step.RECEIVE, address, "timeout")
+            raise _error(ExchangeStep.RECEIVE, address, "timeout")
         return pending.reply
 
 
@@ -263,7 +265,7 @@
     error: str | None = None
 
 
-def _error(step: Step, address: Address, detail: str) -> CommunicationError:
+def _error(step: ExchangeStep, address: Address, detail: str) -> CommunicationError:
     return CommunicationError(step=step, peer=str(address), detail=detail)
 
 
@@ -274,7 +276,7 @@
         self, fabric: MemoryFabric, process: str, address: Address, serve: Any
     ) -> None:
         self.process = process
-        self.bound = fabric.free_address() if address.port == 0 else address
+        self.bound_address = fabric.free_address() if address.port == 0 else address
         self._fabric = fabric
         self._serve = serve
         self._nursery: trio.Nursery | None = None
@@ -283,14 +285,14 @@
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        self._fabric.listener_by_address[self.bound] = self
+        self._fabric.listener_by_address[self.bound_address] = self
         try:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
                 task_status.started()
                 await trio.sleep_forever()
         finally:
-            del self._fabric.listener_by_address[self.bound]
+            del self._fabric.listener_by_address[self.bound_address]
             for pending in self._open:
                 pending.error = "closed"
                 pending.done.set()
@@ -338,7 +340,7 @@
 
     def http(self, address: Address, handler: Handler) -> Listener:
         async def serve(request: HttpRequest) -> HttpResponse:
-            return await answer_or_refuse(handler, request)
+            return await call_handler(handler, request)
 
         return _MemoryListener(self._fabric, self._process, address, serve)
 
@@ -361,10 +363,10 @@
         request: HttpRequest,
         *,
         timeout: timedelta = DEFAULT_TIMEOUT,
-        on_begun: OnBegun | None = None,
+        on_response_start: OnResponseStart | None = None,
     ) -> HttpResponse:
         reply = await self._fabric.exchange(
-            self._process, address, request, timeout, on_begun
+            self._process, address, request, timeout, on_response_start
         )
         assert isinstance(reply, HttpResponse)
         return reply
--- a/standins/links.py
+++ b/standins/links.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from coltsfoottray.http.common import extend
+from coltsfoottray.http.common import extend_deadline
 
 __all__ = ["AccessLink"]
 
@@ -38,5 +38,5 @@
                 async with self._lock:
                     await trio.sleep(chunk / self.bytes_per_s)
             self.received_bytes += chunk
-            extend(limit)
+            extend_deadline(limit)
             size -= chunk
