--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -18,7 +18,7 @@
 import msgspec
 import trio
 
-from benchmarks.capacity_model import Slopes, show
+from benchmarks.capacity_model import UnitCosts, print_report
 from coltsfoottray.claims import Claim
 from coltsfoottray.claims.messages import CLAIM, ClaimRequest, Proposal
 from coltsfoottray.entry.batch import TaskSubmission
@@ -122,7 +122,7 @@
     return grown / _OBJECTS
 
 
-async def _measure() -> Slopes:
+async def _measure() -> UnitCosts:
     examples = Path(str(resources.files("standins"))) / "examples"
     deployment = load_deployment(examples / "tregarth.yaml").unwrap()
     base_bytes = _resident_bytes()
@@ -136,7 +136,7 @@
         task, rows, commits, reads = await _measure_tasks(cell, idle)
         nursery.cancel_scope.cancel()
     daemons = deployment.entries + deployment.service.instances
-    return Slopes(
+    return UnitCosts(
         idle_daemon_s=idle.processor_s / (daemons + deployment.workers.count),
         watch_s=watch.processor_s,
         watch_bytes=watch.wire_bytes,
@@ -298,7 +298,7 @@
 
 def main() -> None:
     """Measure the slopes, and print them and what they come to."""
-    show(trio.run(_measure))
+    print_report(trio.run(_measure))
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity_model.py
+++ b/benchmarks/capacity_model.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, fields
 
-__all__ = ["Slopes", "show"]
+__all__ = ["UnitCosts", "print_report"]
 
 # The size designed for.
 WORKERS = 530
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Slopes:
+class UnitCosts:
     """What was measured: processor seconds, bytes, and table operations.
 
     Parameters
@@ -71,7 +71,7 @@
     unit: str
 
 
-def show(slopes: Slopes) -> None:
+def print_report(slopes: UnitCosts) -> None:
     """Print the slopes, and each role's use beside its budget."""
     print("measured")
     for field in fields(slopes):
@@ -85,7 +85,7 @@
         )
 
 
-def _lines(s: Slopes) -> list[_Line]:
+def _lines(s: UnitCosts) -> list[_Line]:
     attendants = WORKERS + INSTANCES
     every = attendants / HOLD_S
     homed = every / ENTRIES
--- a/properties/jobs.py
+++ b/properties/jobs.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from properties.losses import Loss, Losses
+from properties.permanent_faults import PermanentFault, PermanentFaults
 from tests.support.job_world import JobWorld, job_id, make_steps
 
 __all__ = ["Jobs"]
@@ -39,7 +39,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.world = JobWorld(instances=1, workers=_WORKERS)
-        self.losses = Losses(world=self.world)
+        self.losses = PermanentFaults(world=self.world)
         # By then one entry schedules, and all workers have reported.
         self.world.advance(_START_S)
         self._numbers = itertools.count()
@@ -220,21 +220,27 @@
         """A worker is gone for good; its attendant lives, starts anew or dies too."""
         if not self.losses.may_lose(worker):
             return
-        self.losses.lose_worker(worker, Loss.GONE)
+        self.losses.lose_worker(worker, PermanentFault.GONE)
         self.world.advance(ms / _MILLI)
         if attendant == "starts anew":
             self.restart(worker)
         elif attendant == "dies" and not self.losses.is_ended(worker):
-            self.losses.end_daemon(worker, Loss.DEAD)
+            self.losses.end_daemon(worker, PermanentFault.DEAD)
 
-    @rule(worker=WORKERS, loss=st.sampled_from([Loss.SILENT, Loss.DRAINING]))
-    def lose_worker(self, worker: str, loss: Loss) -> None:
+    @rule(
+        worker=WORKERS,
+        loss=st.sampled_from([PermanentFault.SILENT, PermanentFault.DRAINING]),
+    )
+    def lose_worker(self, worker: str, loss: PermanentFault) -> None:
         """A worker answers nobody any more, or says for good that it leaves."""
         if self.losses.may_lose(worker):
             self.losses.lose_worker(worker, loss)
 
-    @rule(process=PROCESSES, loss=st.sampled_from([Loss.DEAD, Loss.FROZEN]))
-    def lose_daemon(self, process: str, loss: Loss) -> None:
+    @rule(
+        process=PROCESSES,
+        loss=st.sampled_from([PermanentFault.DEAD, PermanentFault.FROZEN]),
+    )
+    def lose_daemon(self, process: str, loss: PermanentFault) -> None:
         """A daemon dies or freezes for good."""
         if self.losses.may_lose(process) and not self.losses.is_ended(process):
             self.losses.end_daemon(process, loss)
--- a/properties/losses.py
+++ b/properties/permanent_faults.py
@@ -6,10 +6,10 @@
 
 from tests.support.job_world import JobWorld
 
-__all__ = ["Loss", "Losses"]
+__all__ = ["PermanentFault", "PermanentFaults"]
 
 
-class Loss(StrEnum):
+class PermanentFault(StrEnum):
     """Ways to be lost for good.
 
     The first four are of a worker, `DEAD` and `FROZEN` of a daemon, and `CUT` is of
@@ -24,7 +24,7 @@
     CUT = "cut"
 
 
-class Losses:
+class PermanentFaults:
     """Brings about what never heals, and keeps one entry and one worker sound.
 
     A worker and its attendant share their name, and neither is sound without the other.
@@ -32,7 +32,7 @@
 
     def __init__(self, *, world: JobWorld) -> None:
         self._world = world
-        self._lost: set[tuple[str, Loss]] = set()
+        self._lost: set[tuple[str, PermanentFault]] = set()
         self._links: set[frozenset[str]] = set()
 
     def is_sound(self, name: str) -> bool:
@@ -52,38 +52,42 @@
 
     def is_ended(self, process: str) -> bool:
         """Whether a daemon is dead or frozen for good."""
-        return self._has(process, Loss.DEAD) or self._has(process, Loss.FROZEN)
+        return self._has(process, PermanentFault.DEAD) or self._has(
+            process, PermanentFault.FROZEN
+        )
 
     def is_mute(self, worker: str) -> bool:
         """Whether a worker answers nobody for good."""
-        return self._has(worker, Loss.GONE) or self._has(worker, Loss.SILENT)
+        return self._has(worker, PermanentFault.GONE) or self._has(
+            worker, PermanentFault.SILENT
+        )
 
     def is_leaving(self, worker: str) -> bool:
         """Whether a worker says for good that it leaves."""
-        return self._has(worker, Loss.DRAINING)
+        return self._has(worker, PermanentFault.DRAINING)
 
-    def lose_worker(self, worker: str, loss: Loss) -> None:
+    def lose_worker(self, worker: str, loss: PermanentFault) -> None:
         """Lose a worker; its attendant lives on."""
         self._lost.add((worker, loss))
         machine = self._world.cell.worker_by_name[worker]
-        if loss is Loss.GONE:
+        if loss is PermanentFault.GONE:
             machine.vanish()
-        elif loss is Loss.SILENT:
+        elif loss is PermanentFault.SILENT:
             machine.is_dark = True
         else:
             machine.is_draining = True
 
-    def end_daemon(self, process: str, loss: Loss) -> None:
+    def end_daemon(self, process: str, loss: PermanentFault) -> None:
         """End a daemon: what is sent to a dead one fails, to a frozen one hangs."""
         self._lost.add((process, loss))
-        if loss is Loss.DEAD:
+        if loss is PermanentFault.DEAD:
             self._world.kill_daemon(process)
         else:
             self._world.fabric.faults(process).pause()
 
     def cut(self, process: str, other: str) -> None:
         """Put something out of a daemon's reach."""
-        self._lost.add((process, Loss.CUT))
+        self._lost.add((process, PermanentFault.CUT))
         self._links.add(frozenset((process, other)))
         self._world.fabric.cut |= self._links
 
@@ -103,5 +107,5 @@
             worker.is_dark = self.is_mute(name)
             worker.is_draining = self.is_leaving(name)
 
-    def _has(self, name: str, loss: Loss) -> bool:
+    def _has(self, name: str, loss: PermanentFault) -> bool:
         return (name, loss) in self._lost
--- a/properties/planted.py
+++ b/properties/planted.py
@@ -31,11 +31,11 @@
     "cancel_without_tombstone",
     "claims_without_asking",
     "edits_without_versions",
-    "lapse_without_waiting",
+    "leases_lapsed_without_waiting",
     "leases_renewed_out_of_reach",
     "ledger_without_bounds",
-    "moves_without_attempts",
     "refusals_without_proof",
+    "running_tasks_loaded_as_queued",
     "runs_given_up_early",
 ]
 
@@ -90,7 +90,7 @@
 
 
 @contextmanager
-def lapse_without_waiting() -> Iterator[None]:
+def leases_lapsed_without_waiting() -> Iterator[None]:
     """Declare workers lost without waiting for their lease."""
 
     def observe(self: LeaseObserver, rows: Any) -> Any:
@@ -101,7 +101,7 @@
 
 
 @contextmanager
-def moves_without_attempts() -> Iterator[None]:
+def running_tasks_loaded_as_queued() -> Iterator[None]:
     """Let the owner start a task that is running somewhere already."""
     original = TaskStore.load
 
