--- a/tests/steps/fuzz_steps.py
+++ b/tests/steps/fuzz_steps.py
@@ -29,7 +29,7 @@
     "edits without versions": planted.edits_without_versions,
     "leases renewed for workers out of reach": planted.leases_renewed_out_of_reach,
     "ledger without bounds": planted.ledger_without_bounds,
-    "moves without attempts": planted.running_tasks_loaded_as_queued,
+    "running tasks loaded as queued": planted.running_tasks_loaded_as_queued,
     "refusals without proof": planted.refusals_without_proof,
     "runs given up early": planted.runs_given_up_early,
 }
