--- a/properties/jobs.py
+++ b/properties/jobs.py
@@ -1,6 +1,6 @@
 """Jobs under crashes, pauses, cuts, silent workers, late orders and outages.
 
-Some of it never heals: then what is left is to see all work to its end.
+Some faults are permanent: the remaining entries and workers must then finish all jobs.
 """
 
 from __future__ import annotations
@@ -19,49 +19,49 @@
 WORKERS = st.sampled_from(["worker-1", "worker-2", "worker-3"])
 PROCESSES = st.one_of(ENTRIES, WORKERS)
 _WORKERS = 3
-# A lease of 9 s, a late order of some seconds, and the tasks that are left.
-SETTLE_S = 120.0
-_START_S = 3.0
-# A job's tasks are started within it.
-_PLACING_S = 0.3
-# What a worker that is out of reach still runs ends within it.
+# Covers a lease of 9 s, an order that is some seconds late, and the remaining tasks.
+SETTLE_TIMEOUT_S = 120.0
+_STARTUP_S = 3.0
+# Time within which the tasks of an accepted job start.
+_PLACEMENT_S = 0.3
+# Time within which an unreachable worker stops its runs.
 _LEASE_S = 10.0
-# A single worker with room for 8 tasks does all that is handed in within half of
-# `SETTLE_S`, also beside all tasks that last.
-_MOST_WORK_S = 240.0
-_MOST_LASTING = 4
-_MILLI = 1000
+# A single worker with room for 8 tasks completes this much work within half of
+# `SETTLE_TIMEOUT_S`, even while it also runs all service tasks.
+_MAX_WORK_S = 240.0
+_MAX_SERVICE_TASKS = 4
+_MS_PER_S = 1000
 
 
 class Jobs(RuleBasedStateMachine):
-    """The oracle: what runs where, what has ended, and what callers were told."""
+    """Compares runs, completed jobs and replies to callers with an oracle."""
 
     def __init__(self) -> None:
         super().__init__()
         self.world = JobWorld(instances=1, workers=_WORKERS)
-        self.losses = PermanentFaults(world=self.world)
-        # By then one entry schedules, and all workers have reported.
-        self.world.advance(_START_S)
+        self.permanent_faults = PermanentFaults(world=self.world)
+        # By now one entry is the active scheduler, and all workers have reported.
+        self.world.advance(_STARTUP_S)
         self._numbers = itertools.count()
         self._accepted: set[str] = set()
         self._count_by_label: dict[str, int] = {}
         self._refused: set[str] = set()
-        self._cancelled: set[str] = set()
-        self._surely_cancelled: set[str] = set()
+        self._cancel_requested: set[str] = set()
+        self._confirmed_cancelled: set[str] = set()
         self._completed: set[str] = set()
-        self._lasting: set[str] = set()
+        self._services: set[str] = set()
         self._work_s = 0.0
-        self._lasting_tasks = 0
+        self._service_tasks = 0
 
     def teardown(self) -> None:
-        """Heal what may heal, and see every accepted job to its end."""
+        """Recover from transient faults and wait for every accepted job to end."""
         try:
-            self.losses.heal_rest()
-            # Until then tasks may run where nobody could tell for how long.
+            self.permanent_faults.heal_transient()
+            # Until their leases end, unreachable workers may run tasks unobserved.
             self.world.advance(_LEASE_S)
             self._wait_for_ends()
-            self.judge()
-            self._judge_refusals()
+            self.check_invariants()
+            self._check_refusals()
         finally:
             self.world.close()
 
@@ -75,36 +75,36 @@
     def submit(
         self, entry: str, tasks: int, steps: int, work_s: float, saves: bool
     ) -> None:
-        """A caller hands a job in."""
-        more_s = steps * tasks * work_s
-        if not self._is_answering(entry) or self._work_s + more_s > _MOST_WORK_S:
+        """A caller submits a job."""
+        added_s = steps * tasks * work_s
+        if not self._is_answering(entry) or self._work_s + added_s > _MAX_WORK_S:
             return
-        self._work_s += more_s
+        self._work_s += added_s
         label = f"j{next(self._numbers)}"
         shape = make_steps(steps, tasks, work_s, checkpointing=saves)
         status = self.world.submit_job(entry, label, shape, work_s=work_s, saves=saves)
-        self._note_answer(label, status, steps * tasks)
+        self._record_answer(label, status, steps * tasks)
 
     @rule(entry=ENTRIES, tasks=st.integers(min_value=1, max_value=2))
-    def submit_lasting(self, entry: str, tasks: int) -> None:
-        """A caller hands in a job whose tasks last until it is cancelled."""
-        is_too_much = self._lasting_tasks + tasks > _MOST_LASTING
-        if not self._is_answering(entry) or is_too_much:
+    def submit_service(self, entry: str, tasks: int) -> None:
+        """A caller submits a service, whose tasks run until it is cancelled."""
+        exceeds_limit = self._service_tasks + tasks > _MAX_SERVICE_TASKS
+        if not self._is_answering(entry) or exceeds_limit:
             return
-        self._lasting_tasks += tasks
+        self._service_tasks += tasks
         label = f"j{next(self._numbers)}"
-        self._lasting.add(label)
+        self._services.add(label)
         shape = make_steps(1, tasks, 1.0, longRunning=True)
         status = self.world.submit_job(entry, label, shape, lasts=True)
-        self._note_answer(label, status, tasks)
+        self._record_answer(label, status, tasks)
 
-    def _note_answer(self, label: str, status: int, count: int) -> None:
+    def _record_answer(self, label: str, status: int, count: int) -> None:
         if status == 200:
             self._accepted.add(label)
             self._count_by_label[label] = count
         elif status == 503:
             self._refused.add(label)
-        self.world.advance(_PLACING_S)
+        self.world.advance(_PLACEMENT_S)
 
     @rule(data=st.data(), entry=ENTRIES)
     def cancel(self, data: st.DataObject, entry: str) -> None:
@@ -112,20 +112,20 @@
         if not self._accepted or not self._is_answering(entry):
             return
         label = data.draw(st.sampled_from(sorted(self._accepted)))
-        # Without an answer the job may be cancelled all the same.
-        self._cancelled.add(label)
+        # The job may be cancelled even if no reply arrives.
+        self._cancel_requested.add(label)
         if self.world.cancel_job(entry, label) == 200:
-            self._surely_cancelled.add(label)
+            self._confirmed_cancelled.add(label)
 
     @rule(ms=st.sampled_from([20, 300, 2000, 7000]))
     def advance(self, ms: int) -> None:
         """Let time pass."""
-        self.world.advance(ms / _MILLI)
+        self.world.advance(ms / _MS_PER_S)
 
     @rule(process=PROCESSES)
     def restart(self, process: str) -> None:
-        """A daemon crashes and is started anew, with nothing in memory."""
-        if self.losses.is_ended(process):
+        """A daemon crashes and restarts with empty memory."""
+        if self.permanent_faults.is_stopped(process):
             return
         self.world.kill_daemon(process)
         self.world.resume(process)
@@ -134,13 +134,13 @@
     @rule(process=PROCESSES)
     def pause(self, process: str) -> None:
         """Freeze a daemon."""
-        if not self.losses.is_ended(process):
+        if not self.permanent_faults.is_stopped(process):
             self.world.fabric.faults(process).pause()
 
     @rule(process=PROCESSES)
     def resume(self, process: str) -> None:
-        """Let it go on."""
-        if not self.losses.is_ended(process):
+        """Resume a frozen daemon."""
+        if not self.permanent_faults.is_stopped(process):
             self.world.resume(process)
 
     @rule(process=PROCESSES, other=st.one_of(PROCESSES, st.just("store")))
@@ -151,44 +151,44 @@
 
     @rule(worker=WORKERS, ms=st.sampled_from([300, 2000, 7000]))
     def isolate(self, worker: str, ms: int) -> None:
-        """For a while an attendant reaches nobody but its worker, which runs on."""
+        """An attendant temporarily reaches only its worker, which keeps running."""
         links = {
             frozenset((worker, other)) for other in ("entry-1", "entry-2", "store")
         }
         self.world.fabric.cut |= links
-        self.world.advance(ms / _MILLI)
-        self.losses.mend(links)
+        self.world.advance(ms / _MS_PER_S)
+        self.permanent_faults.heal_links(links)
 
     @rule(worker=WORKERS, is_draining=st.booleans())
     def drain(self, worker: str, is_draining: bool) -> None:
-        """A worker says that it leaves, or that it has thought better of it."""
-        leaves = is_draining or self.losses.is_leaving(worker)
+        """A worker reports that it is draining, or that it no longer is."""
+        leaves = is_draining or self.permanent_faults.is_leaving(worker)
         self.world.cell.worker_by_name[worker].is_draining = leaves
 
     @rule()
     def heal_cuts(self) -> None:
-        """All reach each other again."""
-        self.losses.mend(set(self.world.fabric.cut))
+        """All processes reach each other again, except over permanently cut links."""
+        self.permanent_faults.heal_links(set(self.world.fabric.cut))
 
     @rule(worker=WORKERS)
     def crash(self, worker: str) -> None:
-        """A worker loses all that runs there and comes back empty."""
+        """A worker loses all its runs and restarts empty."""
         self.world.cell.worker_by_name[worker].crash()
 
-    @rule(worker=WORKERS, is_dark=st.booleans())
-    def darken(self, worker: str, is_dark: bool) -> None:
-        """A worker runs on and answers nobody, or answers again."""
-        is_mute = is_dark or self.losses.is_mute(worker)
-        self.world.cell.worker_by_name[worker].is_dark = is_mute
+    @rule(worker=WORKERS, is_silent=st.booleans())
+    def set_unresponsive(self, worker: str, is_silent: bool) -> None:
+        """A worker keeps running but answers no requests, or answers again."""
+        is_unresponsive = is_silent or self.permanent_faults.is_unresponsive(worker)
+        self.world.cell.worker_by_name[worker].is_dark = is_unresponsive
 
     @rule(worker=WORKERS, count=st.integers(min_value=1, max_value=3))
     def delay_starts(self, worker: str, count: int) -> None:
-        """Orders to start are carried out seconds later."""
+        """The next start orders are carried out seconds late."""
         self.world.cell.worker_by_name[worker].late_starts = count
 
     @rule(worker=WORKERS)
     def lose_start_answer(self, worker: str) -> None:
-        """An order is carried out, and its answer is lost."""
+        """The next start order is carried out, but its reply is lost."""
         self.world.cell.worker_by_name[worker].unanswered_starts = 1
 
     @rule(is_down=st.booleans())
@@ -198,76 +198,80 @@
 
     @rule(count=st.sampled_from([1, 2, 8]))
     def lose_write_answers(self, count: int) -> None:
-        """Writes take effect, and their answers are lost."""
+        """The next writes take effect, but their replies are lost."""
         self.world.cell.rows.faults.lost_answers = count
 
     @rule()
     def delay_write(self) -> None:
-        """A write is carried out seconds later, if its conditions still hold."""
+        """The next write is applied seconds late, if its conditions still hold."""
         self.world.cell.rows.late_writes = 1
 
     @rule()
     def drop_history(self) -> None:
-        """The store forgets what changed."""
+        """The store discards its change history."""
         self.world.cell.rows.drop_history()
 
     @rule(
         worker=WORKERS,
-        attendant=st.sampled_from(["lives", "starts anew", "dies"]),
+        attendant=st.sampled_from(["survives", "restarts", "dies"]),
         ms=st.sampled_from([0, 300, 2000]),
     )
-    def lose_machine(self, worker: str, attendant: str, ms: int) -> None:
-        """A worker is gone for good; its attendant lives, starts anew or dies too."""
-        if not self.losses.may_lose(worker):
+    def lose_vm(self, worker: str, attendant: str, ms: int) -> None:
+        """A worker's VM is lost; its attendant survives, restarts or dies too."""
+        if not self.permanent_faults.may_fail(worker):
             return
-        self.losses.lose_worker(worker, PermanentFault.GONE)
-        self.world.advance(ms / _MILLI)
-        if attendant == "starts anew":
+        self.permanent_faults.lose_worker(worker, PermanentFault.GONE)
+        self.world.advance(ms / _MS_PER_S)
+        if attendant == "restarts":
             self.restart(worker)
-        elif attendant == "dies" and not self.losses.is_ended(worker):
-            self.losses.end_daemon(worker, PermanentFault.DEAD)
+        elif attendant == "dies" and not self.permanent_faults.is_stopped(worker):
+            self.permanent_faults.stop_daemon(worker, PermanentFault.DEAD)
 
     @rule(
         worker=WORKERS,
-        loss=st.sampled_from([PermanentFault.SILENT, PermanentFault.DRAINING]),
+        fault=st.sampled_from([PermanentFault.SILENT, PermanentFault.DRAINING]),
     )
-    def lose_worker(self, worker: str, loss: PermanentFault) -> None:
-        """A worker answers nobody any more, or says for good that it leaves."""
-        if self.losses.may_lose(worker):
-            self.losses.lose_worker(worker, loss)
+    def lose_worker(self, worker: str, fault: PermanentFault) -> None:
+        """A worker permanently answers no requests, or permanently drains."""
+        if self.permanent_faults.may_fail(worker):
+            self.permanent_faults.lose_worker(worker, fault)
 
     @rule(
         process=PROCESSES,
-        loss=st.sampled_from([PermanentFault.DEAD, PermanentFault.FROZEN]),
+        fault=st.sampled_from([PermanentFault.DEAD, PermanentFault.FROZEN]),
     )
-    def lose_daemon(self, process: str, loss: PermanentFault) -> None:
-        """A daemon dies or freezes for good."""
-        if self.losses.may_lose(process) and not self.losses.is_ended(process):
-            self.losses.end_daemon(process, loss)
+    def lose_daemon(self, process: str, fault: PermanentFault) -> None:
+        """A daemon dies or freezes permanently."""
+        if self.permanent_faults.may_fail(
+            process
+        ) and not self.permanent_faults.is_stopped(process):
+            self.permanent_faults.stop_daemon(process, fault)
 
     @rule(worker=WORKERS, other=st.one_of(ENTRIES, st.sampled_from(["store", "vm"])))
     def lose_link(self, worker: str, other: str) -> None:
-        """An attendant never reaches an entry, the store or its worker again."""
-        if self.losses.may_lose(worker):
-            self.losses.cut(worker, f"{worker}/vm" if other == "vm" else other)
+        """An attendant permanently loses an entry, the store or its worker."""
+        if self.permanent_faults.may_fail(worker):
+            self.permanent_faults.cut(
+                worker, f"{worker}/vm" if other == "vm" else other
+            )
 
     @rule(entry=ENTRIES)
-    def lose_store(self, entry: str) -> None:
-        """An entry never reaches the store again."""
-        if self.losses.may_lose(entry):
-            self.losses.cut(entry, "store")
+    def lose_store_link(self, entry: str) -> None:
+        """An entry permanently loses its link to the store."""
+        if self.permanent_faults.may_fail(entry):
+            self.permanent_faults.cut(entry, "store")
 
     @invariant()
-    def judge(self) -> None:
-        """Nothing runs twice, or after its end; no worker is overcommitted."""
+    def check_invariants(self) -> None:
+        """No task runs twice or after its end, and no worker is overcommitted."""
         cell = self.world.cell
         assert not cell.observer.violations, cell.observer.violations
         for worker in cell.worker_by_name.values():
             assert worker.max_taken <= cell.processors, worker.name
-        self._note_completed()
+        self._record_completed()
 
-    def _note_completed(self) -> None:
-        """Note what the store says of jobs, long before it is forgotten there."""
+    def _record_completed(self) -> None:
+        """Record jobs that the store shows as completed, before it discards them."""
         for label in self._accepted - self._completed:
             row = self.world.cell.rows.value_of(
                 "state", "scheduler", f"job.{job_id(label)}"
@@ -275,43 +279,47 @@
             if isinstance(row, dict) and row.get("state") == "completed":
                 self._completed.add(label)
 
-    def _judge_refusals(self) -> None:
+    def _check_refusals(self) -> None:
         started = {task.split(".")[0] for task, _, _ in self.world.cell.observer.starts}
-        false = [label for label in self._refused if job_id(label) in started]
-        assert not false, f"refused as never to run, and started: {false}"
+        falsely_refused = [label for label in self._refused if job_id(label) in started]
+        assert not falsely_refused, (
+            f"refused as not run, but started: {falsely_refused}"
+        )
 
     def _wait_for_ends(self) -> None:
-        give_up = self.world.now() + SETTLE_S
-        open_labels = sorted(self._accepted)
-        while open_labels:
-            open_labels = [each for each in open_labels if not self._is_over(each)]
-            assert self.world.now() < give_up, f"not ended: {open_labels}"
+        deadline = self.world.now() + SETTLE_TIMEOUT_S
+        unfinished = sorted(self._accepted)
+        while unfinished:
+            unfinished = [each for each in unfinished if not self._has_ended(each)]
+            assert self.world.now() < deadline, f"not ended: {unfinished}"
             self.world.advance(0.5)
-            self._note_completed()
+            self._record_completed()
 
-    def _is_over(self, label: str) -> bool:
-        state = self.world.state_of(self.losses.sound_entry(), label)
-        may_be_cancelled = label in self._cancelled
-        if label in self._lasting:
-            return self._is_settled(label, state)
+    def _has_ended(self, label: str) -> bool:
+        state = self.world.state_of(self.permanent_faults.recoverable_entry(), label)
+        may_be_cancelled = label in self._cancel_requested
+        if label in self._services:
+            return self._is_service_settled(label, state)
         if state == "410":
-            # What has ended is forgotten after a while.
+            # Ended jobs are removed after the retention period.
             was_done = label in self._completed and self._is_done(label)
-            assert was_done or may_be_cancelled, f"{label} was accepted and is lost"
+            assert was_done or may_be_cancelled, f"{label} was accepted, then lost"
             return True
         if state == "completed":
-            assert self._is_done(label), f"{label} is completed, and not all was done"
+            assert self._is_done(label), f"{label} completed with tasks not done"
             return True
         return may_be_cancelled and state == "cancelled"
 
-    def _is_settled(self, label: str, state: str) -> bool:
-        """Whether all tasks of a job that lasts run, or none if it is cancelled."""
+    def _is_service_settled(self, label: str, state: str) -> bool:
+        """Whether all tasks of a service run, or none if it is cancelled."""
         running = self._running_count(label)
         if state in ("410", "cancelled"):
-            assert label in self._cancelled, f"{label} lasts and is {state}"
+            assert label in self._cancel_requested, (
+                f"service {label} is {state} but was not cancelled"
+            )
             return running == 0
-        is_wanted = label not in self._surely_cancelled
-        return is_wanted and running == self._count_by_label[label]
+        is_active = label not in self._confirmed_cancelled
+        return is_active and running == self._count_by_label[label]
 
     def _running_count(self, label: str) -> int:
         """Return how many tasks of a job have a run on any worker."""
@@ -320,9 +328,9 @@
         return sum(task.startswith(job_id(label)) for task in tasks)
 
     def _is_done(self, label: str) -> bool:
-        """Whether each task of a job has ended well once.
+        """Whether each task of a job has succeeded at least once.
 
-        An end that its worker has forgotten counts: it may have been told before.
+        This includes ends that the worker has discarded: it may have reported them.
         """
         done = self.world.cell.observer.ever_done
         count = sum(task.startswith(job_id(label)) for task in done)
@@ -330,4 +338,4 @@
 
     def _is_answering(self, entry: str) -> bool:
         is_running = self.world.fabric.faults(entry).running.is_set()
-        return is_running and not self.losses.is_ended(entry)
+        return is_running and not self.permanent_faults.is_stopped(entry)
--- a/properties/permanent_faults.py
+++ b/properties/permanent_faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong for good in a world of jobs, and the healing of the rest."""
+"""Permanent faults of entries and workers, and recovery from transient ones."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class PermanentFault(StrEnum):
-    """Ways to be lost for good.
+    """Kinds of permanent fault.
 
-    The first four are of a worker, `DEAD` and `FROZEN` of a daemon, and `CUT` is of
-    either: of all that a daemon could reach, something is out of its reach.
+    `GONE`, `SILENT` and `DRAINING` affect a worker, `DEAD` and `FROZEN` a daemon. `CUT`
+    affects either: the daemon has lost its link to one of its peers.
     """
 
     GONE = "gone"
@@ -25,87 +25,89 @@
 
 
 class PermanentFaults:
-    """Brings about what never heals, and keeps one entry and one worker sound.
+    """Injects permanent faults.
 
-    A worker and its attendant share their name, and neither is sound without the other.
+    `may_fail` tells callers whether a further fault leaves one entry and one worker
+    recoverable. A worker and its attendant share a name; a permanent fault of either
+    makes both unrecoverable.
     """
 
     def __init__(self, *, world: JobWorld) -> None:
         self._world = world
-        self._lost: set[tuple[str, PermanentFault]] = set()
-        self._links: set[frozenset[str]] = set()
+        self._faults: set[tuple[str, PermanentFault]] = set()
+        self._cut_links: set[frozenset[str]] = set()
 
-    def is_sound(self, name: str) -> bool:
-        """Whether all that is wrong with an entry or a worker can heal."""
-        return all(name != other for other, _ in self._lost)
+    def is_recoverable(self, name: str) -> bool:
+        """Whether an entry or a worker has no permanent fault."""
+        return all(name != other for other, _ in self._faults)
 
-    def sound_entry(self) -> str:
-        """Return the first entry that is sound."""
-        return next(filter(self.is_sound, self._world.cell.entry_by_name))
+    def recoverable_entry(self) -> str:
+        """Return the first entry that is recoverable."""
+        return next(filter(self.is_recoverable, self._world.cell.entry_by_name))
 
-    def may_lose(self, name: str) -> bool:
-        """Whether another of its kind is sound."""
+    def may_fail(self, name: str) -> bool:
+        """Whether another entry, or another worker, is recoverable."""
         cell = self._world.cell
         is_entry = name in cell.entry_by_name
         kind = cell.entry_by_name if is_entry else cell.worker_by_name
-        return any(self.is_sound(other) for other in kind if other != name)
+        return any(self.is_recoverable(other) for other in kind if other != name)
 
-    def is_ended(self, process: str) -> bool:
-        """Whether a daemon is dead or frozen for good."""
+    def is_stopped(self, process: str) -> bool:
+        """Whether a daemon is permanently dead or frozen."""
         return self._has(process, PermanentFault.DEAD) or self._has(
             process, PermanentFault.FROZEN
         )
 
-    def is_mute(self, worker: str) -> bool:
-        """Whether a worker answers nobody for good."""
+    def is_unresponsive(self, worker: str) -> bool:
+        """Whether a worker permanently answers no requests."""
         return self._has(worker, PermanentFault.GONE) or self._has(
             worker, PermanentFault.SILENT
         )
 
     def is_leaving(self, worker: str) -> bool:
-        """Whether a worker says for good that it leaves."""
+        """Whether a worker permanently reports that it is draining."""
         return self._has(worker, PermanentFault.DRAINING)
 
-    def lose_worker(self, worker: str, loss: PermanentFault) -> None:
-        """Lose a worker; its attendant lives on."""
-        self._lost.add((worker, loss))
+    def lose_worker(self, worker: str, fault: PermanentFault) -> None:
+        """Inject a fault into a worker; its attendant keeps running."""
+        self._faults.add((worker, fault))
         machine = self._world.cell.worker_by_name[worker]
-        if loss is PermanentFault.GONE:
+        if fault is PermanentFault.GONE:
             machine.vanish()
-        elif loss is PermanentFault.SILENT:
+        elif fault is PermanentFault.SILENT:
             machine.is_dark = True
         else:
             machine.is_draining = True
 
-    def end_daemon(self, process: str, loss: PermanentFault) -> None:
-        """End a daemon: what is sent to a dead one fails, to a frozen one hangs."""
-        self._lost.add((process, loss))
-        if loss is PermanentFault.DEAD:
+    def stop_daemon(self, process: str, fault: PermanentFault) -> None:
+        """Stop a daemon: requests to a dead one fail, to a frozen one hang."""
+        self._faults.add((process, fault))
+        if fault is PermanentFault.DEAD:
             self._world.kill_daemon(process)
         else:
             self._world.fabric.faults(process).pause()
 
     def cut(self, process: str, other: str) -> None:
-        """Put something out of a daemon's reach."""
-        self._lost.add((process, PermanentFault.CUT))
-        self._links.add(frozenset((process, other)))
-        self._world.fabric.cut |= self._links
+        """Cut the link between a daemon and a peer permanently."""
+        self._faults.add((process, PermanentFault.CUT))
+        self._cut_links.add(frozenset((process, other)))
+        self._world.fabric.cut |= self._cut_links
 
-    def mend(self, links: set[frozenset[str]]) -> None:
-        """Mend links, but for those that are cut for good."""
-        self._world.fabric.cut -= links - self._links
+    def heal_links(self, links: set[frozenset[str]]) -> None:
+        """Restore links, except those that are cut permanently."""
+        self._world.fabric.cut -= links - self._cut_links
 
-    def heal_rest(self) -> None:
-        """Heal everything that is not lost for good."""
+    def heal_transient(self) -> None:
+        """Recover from every fault that is not permanent."""
         cell = self._world.cell
-        self.mend(set(self._world.fabric.cut))
+        self.heal_links(set(self._world.fabric.cut))
         cell.rows.faults.is_down = False
         for process in list(self._world.fabric.faults_by_process):
-            if not self.is_ended(process):
+            if not self.is_stopped(process):
                 self._world.resume(process)
         for name, worker in cell.worker_by_name.items():
-            worker.is_dark = self.is_mute(name)
+            worker.is_dark = self.is_unresponsive(name)
             worker.is_draining = self.is_leaving(name)
 
-    def _has(self, name: str, loss: PermanentFault) -> bool:
-        return (name, loss) in self._lost
+    def _has(self, name: str, fault: PermanentFault) -> bool:
+        return (name, fault) in self._faults
