--- a/properties/jobs.py
+++ b/properties/jobs.py
@@ -60,7 +60,7 @@
             # Until their leases end, unreachable workers may run tasks unobserved.
             self.world.advance(_LEASE_S)
             self._wait_for_ends()
-            self.check_invariants()
+            self.check_safety()
             self._check_refusals()
         finally:
             self.world.close()
@@ -262,7 +262,7 @@
             self.permanent_faults.cut(entry, "store")
 
     @invariant()
-    def check_invariants(self) -> None:
+    def check_safety(self) -> None:
         """No task runs twice or after its end, and no worker is overcommitted."""
         cell = self.world.cell
         assert not cell.observer.violations, cell.observer.violations
