--- a/properties/batch_tasks.py
+++ b/properties/batch_tasks.py
@@ -15,14 +15,14 @@
 ENTRIES = st.sampled_from(["entry-1", "entry-2"])
 WORKERS = st.sampled_from(["worker-01", "worker-02"])
 PROCESSES = st.one_of(ENTRIES, WORKERS)
-# A lost start is found after seconds, a lost worker after a lease of 3 s.
-SETTLE_S = 240.0
-# One worker alone may have to run all tasks, one after the other.
-_MOST_WORK_S = 150.0
+# A lost start is detected after seconds, a lost worker after its lease of 3 s.
+SETTLE_TIMEOUT_S = 240.0
+# A single worker may have to run all tasks sequentially.
+_MAX_WORK_S = 150.0
 
 
 class BatchTasks(RuleBasedStateMachine):
-    """The oracle: where each task runs now, how often it ended, and the sums."""
+    """Checks attempts, finished tasks and reservations against an oracle."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -30,16 +30,18 @@
         self._numbers = itertools.count()
         self._accepted: set[str] = set()
         self._work_s = 0.0
-        self._vm_is_lost: set[str] = set()
-        self._vm_is_silent: set[str] = set()
+        self._lost_vms: set[str] = set()
+        self._frozen_vms: set[str] = set()
 
     def teardown(self) -> None:
-        """Heal all but one VM that is gone, and see every accepted task to its end."""
+        """Recover all but one faulty VM and wait for every accepted task to end."""
         try:
             self._heal_all()
-            self.world.wait_until(self._are_all_final, limit_s=SETTLE_S, step_s=0.5)
-            self.judge()
-            self._judge_ends()
+            self.world.wait_until(
+                self._are_all_final, limit_s=SETTLE_TIMEOUT_S, step_s=0.5
+            )
+            self.check_safety()
+            self._check_ends()
         finally:
             self.world.close()
 
@@ -52,8 +54,8 @@
     def submit(
         self, entry: str, customer: str, processors: int, runtime_s: float
     ) -> None:
-        """A customer submits a task, once."""
-        if not self._is_answering(entry) or self._work_s + runtime_s > _MOST_WORK_S:
+        """A customer submits a new task."""
+        if not self._is_answering(entry) or self._work_s + runtime_s > _MAX_WORK_S:
             return
         self._work_s += runtime_s
         task = f"t{next(self._numbers)}"
@@ -78,7 +80,7 @@
 
     @rule(process=PROCESSES)
     def lose_reply(self, process: str) -> None:
-        """The next reply of a process is lost."""
+        """The next reply from a process is lost."""
         self.world.fabric.faults(process).lost_replies = 1
 
     @rule(process=PROCESSES)
@@ -108,12 +110,12 @@
 
     @rule(process=PROCESSES)
     def resume(self, process: str) -> None:
-        """Let it go on."""
+        """Resume a frozen process."""
         self.world.resume(process)
 
     @rule(entry=ENTRIES)
     def restart_entry(self, entry: str) -> None:
-        """An entry crashes and is started anew, with nothing in memory."""
+        """An entry crashes and restarts with empty memory."""
         if self.world.cell.table.faults.is_down:
             return
         if entry in self.world.cell.entry_by_name:
@@ -123,45 +125,45 @@
 
     @rule(worker=WORKERS)
     def restart_attendant(self, worker: str) -> None:
-        """A worker's attendant restarts; the worker goes on."""
-        if worker not in self._vm_is_lost:
+        """A worker's attendant restarts; the worker keeps running."""
+        if worker not in self._lost_vms:
             self.world.kill(worker)
             self.world.resume(worker)
             self.world.run(self.world.cell.start_attendant, worker)
 
     @rule(worker=WORKERS)
     def lose_vm(self, worker: str) -> None:
-        """A worker's VM vanishes with its attendant."""
-        if worker not in self._vm_is_lost:
-            self._vm_is_lost.add(worker)
+        """A worker's VM is lost together with its attendant."""
+        if worker not in self._lost_vms:
+            self._lost_vms.add(worker)
             self.world.lose_worker(worker)
 
     @rule(worker=WORKERS)
     def replace_vm(self, worker: str) -> None:
-        """A new VM takes a lost one's place and name."""
-        if worker in self._vm_is_lost:
-            self._vm_is_lost.discard(worker)
-            self.hear_vm(worker)
+        """A new VM replaces a lost one under the same name."""
+        if worker in self._lost_vms:
+            self._lost_vms.discard(worker)
+            self.resume_vm(worker)
             self.world.resume(worker)
             self.world.run(self.world.cell.replace_worker, worker)
 
     @rule(worker=WORKERS)
-    def silence_vm(self, worker: str) -> None:
-        """A VM answers nobody, for a while or for good; its attendant lives on."""
-        self._vm_is_silent.add(worker)
+    def pause_vm(self, worker: str) -> None:
+        """Freeze a VM, temporarily or permanently; its attendant keeps running."""
+        self._frozen_vms.add(worker)
         self.world.fabric.faults(f"{worker}/vm").pause()
 
     @rule(worker=WORKERS)
-    def hear_vm(self, worker: str) -> None:
-        """A silent VM answers again."""
-        self._vm_is_silent.discard(worker)
+    def resume_vm(self, worker: str) -> None:
+        """Resume a frozen VM."""
+        self._frozen_vms.discard(worker)
         self.world.resume(f"{worker}/vm")
 
     @rule(worker=WORKERS)
     def restart_vm(self, worker: str) -> None:
-        """A VM crashes and is back at once, empty, beside its attendant."""
-        if worker not in self._vm_is_lost:
-            self.world.run(self._start_vm_anew, worker)
+        """A VM crashes and restarts empty at once; its attendant keeps running."""
+        if worker not in self._lost_vms:
+            self.world.run(self._restart_vm, worker)
 
     @rule(is_down=st.booleans())
     def table(self, is_down: bool) -> None:
@@ -170,26 +172,28 @@
 
     @rule()
     def lose_table_answer(self) -> None:
-        """The next write takes effect, and its answer is lost."""
+        """The next write takes effect, but its reply is lost."""
         self.world.cell.table.faults.lost_answers = 1
 
     @invariant()
-    def judge(self) -> None:
-        """Nothing runs twice, and no VM is overcommitted."""
+    def check_safety(self) -> None:
+        """No task runs twice, and no VM is overcommitted."""
         observer = self.world.cell.observer
         assert not observer.doubled, observer.doubled
         assert observer.overcommitted == 0
 
-    def _judge_ends(self) -> None:
+    def _check_ends(self) -> None:
         observer = self.world.cell.observer
         for task, row in self.world.rows().items():
             finishes = observer.finishes_by_task[row.spec.task]
             if row.state is TaskState.FINISHED:
-                assert finishes >= 1, f"{task} is said to be finished: {row}"
+                assert finishes >= 1, (
+                    f"{task} never ended but is marked finished: {row}"
+                )
         assert not +observer.running_by_task, observer.running_by_task
 
     def _are_all_final(self) -> bool:
-        """Whether all is over, also what was accepted without anybody hearing so."""
+        """Whether all tasks are final, including those whose acceptance was lost."""
         rows = self.world.rows()
         is_complete = self._accepted <= set(rows)
         return is_complete and all(row.state.is_final for row in rows.values())
@@ -198,17 +202,17 @@
         faults = self.world.fabric.faults(entry)
         return entry in self.world.cell.entry_by_name and faults.running.is_set()
 
-    async def _start_vm_anew(self, worker: str) -> None:
+    async def _restart_vm(self, worker: str) -> None:
         self.world.cell.worker_stand_in_by_name[worker].start_anew()
 
     def _heal_all(self) -> None:
-        """Heal all but what is gone for good; at least one worker stays sound."""
+        """Recover from all faults, except those of one lost or frozen VM."""
         self.world.fabric.cut.clear()
         self.world.cell.table.faults.is_down = False
-        gone = sorted(self._vm_is_lost | self._vm_is_silent)
-        for worker in gone[1:]:
-            self.hear_vm(worker)
+        faulty = sorted(self._lost_vms | self._frozen_vms)
+        for worker in faulty[1:]:
+            self.resume_vm(worker)
             self.replace_vm(worker)
-        silent = {f"{worker}/vm" for worker in gone[:1]}
-        for process in sorted(set(self.world.fabric.faults_by_process) - silent):
+        frozen = {f"{worker}/vm" for worker in faulty[:1]}
+        for process in sorted(set(self.world.fabric.faults_by_process) - frozen):
             self.world.resume(process)
