--- a/properties/configs.py
+++ b/properties/configs.py
@@ -1,7 +1,7 @@
 """Configs under cuts, slow links, outages, pauses and restarts.
 
-What an operator has been told to stand is in force at each entry soon after all is
-calm, and never gives way to an older one.
+The latest config that the operator wrote comes into force at each entry soon after the
+last fault, and no entry returns to an older config.
 """
 
 from __future__ import annotations
@@ -18,29 +18,29 @@
 ENTRIES = st.sampled_from(_ENTRIES)
 ROUTES = st.sampled_from([0, 300, 1500])
 KB_PER_S = st.sampled_from([None, 50, 300])
-# By then one entry schedules.
-_START_S = 3.0
-# The bounds count for what has been calm for so long.
-_CALM_S = 3.0
-# A config is in force within it, beside the time that its link takes for it.
-_IN_FORCE_S = 2.0
-_KB = 1000.0
-_MILLI = 1000
+# Time within which one entry becomes the active scheduler.
+_STARTUP_S = 3.0
+# The bound on propagation applies once there has been no fault for this time.
+_STABLE_S = 3.0
+# Bound on the propagation of a config, excluding its transfer time on the link.
+_PROPAGATION_S = 2.0
+_BYTES_PER_KB = 1000.0
+_MS_PER_S = 1000
 
 
 class Configs(RuleBasedStateMachine):
-    """The oracle: what was written last, and what each entry goes by."""
+    """Compares the config in force at each entry with the last one written."""
 
     def __init__(self) -> None:
         super().__init__()
         self.world = JobWorld(instances=1, workers=1)
-        self.world.advance(_START_S)
-        self._seen_by_daemon: dict[JobEntryDaemon, int] = {}
+        self.world.advance(_STARTUP_S)
+        self._last_version_by_daemon: dict[JobEntryDaemon, int] = {}
 
     def teardown(self) -> None:
-        """Let calm come, and the last config be in force."""
+        """Recover from all faults and check that the last config is in force."""
         try:
-            self.expect_in_time(0)
+            self.check_propagation(0)
         finally:
             self.world.close()
 
@@ -55,8 +55,8 @@
 
     @rule(entry=ENTRIES, kilobytes=KB_PER_S)
     def change_link(self, entry: str, kilobytes: int | None) -> None:
-        """An entry's link carries more or less, for good."""
-        rate = None if kilobytes is None else kilobytes * _KB
+        """Change the bandwidth of an entry's link until the next change."""
+        rate = None if kilobytes is None else kilobytes * _BYTES_PER_KB
         self.world.fabric.faults(entry).link.bytes_per_s = rate
 
     @rule(entry=ENTRIES)
@@ -71,12 +71,12 @@
 
     @rule()
     def heal_cuts(self) -> None:
-        """All reach each other again."""
+        """All processes reach each other again."""
         self.world.fabric.cut.clear()
 
     @rule(entry=ENTRIES)
     def silence(self, entry: str) -> None:
-        """An entry's open connections go silent, and new ones work."""
+        """The open connections of an entry carry nothing more; new ones work."""
         self.world.fabric.silence_links(entry)
 
     @rule(entry=ENTRIES)
@@ -86,12 +86,12 @@
 
     @rule(entry=ENTRIES)
     def resume(self, entry: str) -> None:
-        """Let it go on."""
+        """Resume a frozen entry."""
         self.world.resume(entry)
 
     @rule(entry=ENTRIES)
     def restart(self, entry: str) -> None:
-        """An entry dies and starts anew, knowing no config."""
+        """An entry crashes and restarts without a config."""
         self.world.kill_daemon(entry)
         self.world.resume(entry)
         self.world.restart_daemon(entry)
@@ -103,55 +103,57 @@
 
     @rule()
     def drop_history(self) -> None:
-        """The store forgets what changed."""
+        """The store discards its change history."""
         self.world.cell.rows.drop_history()
 
     @rule(ms=st.sampled_from([100, 700, 2500]))
     def advance(self, ms: int) -> None:
         """Let time pass."""
-        self.world.advance(ms / _MILLI)
+        self.world.advance(ms / _MS_PER_S)
 
     @rule(routes=ROUTES)
-    def expect_in_time(self, routes: int) -> None:
-        """All heals; a config written once it is calm is in force in time."""
+    def check_propagation(self, routes: int) -> None:
+        """A config written after recovery from all faults is in force in time."""
         self.heal_cuts()
         self.store(False)
         for entry in _ENTRIES:
             self.resume(entry)
-        # One may still be on its way, over the same link.
-        before = self._size()
-        self.world.advance(_CALM_S)
+        # The previous config may still be in transit over the same link.
+        previous_bytes = self._config_bytes()
+        self.world.advance(_STABLE_S)
         self.configure(routes)
-        give_up = self.world.now() + _IN_FORCE_S
+        deadline = self.world.now() + _PROPAGATION_S
         for entry in _ENTRIES:
             rate = self.world.fabric.faults(entry).link.bytes_per_s
-            takes_s = 0.0 if rate is None else (before + self._size()) / rate
-            self._wait(entry, give_up + takes_s)
+            transfer_s = (
+                0.0 if rate is None else (previous_bytes + self._config_bytes()) / rate
+            )
+            self._wait_until_in_force(entry, deadline + transfer_s)
 
-    def _wait(self, entry: str, give_up: float) -> None:
-        newest = self._newest()
+    def _wait_until_in_force(self, entry: str, deadline: float) -> None:
+        newest = self._newest_version()
         while self._version(entry) < newest:
-            late = f"{entry} goes by {self._version(entry)} for {newest}"
-            assert self.world.now() < give_up, late
+            message = f"{entry} has version {self._version(entry)}, expected {newest}"
+            assert self.world.now() < deadline, message
             self.world.advance(0.05)
 
     @invariant()
-    def judge(self) -> None:
-        """No entry goes back to an older config."""
+    def check_safety(self) -> None:
+        """No entry returns to an older config."""
         for entry, daemon in self.world.cell.entry_by_name.items():
             version = self._version(entry)
-            assert version >= self._seen_by_daemon.get(daemon, 0), entry
-            self._seen_by_daemon[daemon] = version
+            assert version >= self._last_version_by_daemon.get(daemon, 0), entry
+            self._last_version_by_daemon[daemon] = version
 
     def _version(self, entry: str) -> int:
         return self.world.cell.entry_by_name[entry].holder.current.version
 
-    def _newest(self) -> int:
+    def _newest_version(self) -> int:
         config = self.world.cell.rows.value_of("op", "", "config")
         assert isinstance(config, dict)
         return int(config["version"])
 
-    def _size(self) -> int:
-        """Return how many bytes the newest config takes on a link."""
+    def _config_bytes(self) -> int:
+        """Return the size of the newest config in bytes."""
         rows = self.world.cell.rows.current_by_ref.items()
         return sum(len(row.value) for ref, row in rows if ref.table == "op")
