--- a/properties/keyed_requests.py
+++ b/properties/keyed_requests.py
@@ -17,39 +17,40 @@
 KEYS = st.sampled_from(["k1", "k2", "k3"])
 ENTRIES = st.sampled_from(["entry-1", "entry-2", "entry-3"])
 INSTANCES = st.sampled_from(["instance-01", "instance-02"])
-# Callers repeat a key for no longer; with the deadline, less than the retention.
-REPEAT_WITHIN_S = 45.0
+# Callers repeat a key for at most this time. With the deadline of the last request
+# added, it stays below the retention.
+MAX_REPEAT_S = 45.0
 PROCESSES = st.one_of(ENTRIES, INSTANCES)
 
 
 class KeyedRequests(RuleBasedStateMachine):
-    """The oracle: which key ran how often, and where now, as upstreams saw it."""
+    """Compares answers with an oracle of the runs per key that upstreams observed."""
 
     def __init__(self) -> None:
         super().__init__()
         self.world = World(entries=3, instances=2)
         self._labels = itertools.count()
         self._key_by_label: dict[str, str] = {}
-        self._judged: set[str] = set()
+        self._checked_labels: set[str] = set()
         self._generation_by_key: dict[str, int] = {}
         self._first_sent_by_key: dict[str, float] = {}
 
     def teardown(self) -> None:
-        """Heal everything, let it settle, and judge what is left."""
+        """Recover from all faults, let requests settle and check the answers."""
         try:
             self._heal_all()
             self.world.advance(25)
-            self.judge()
-            self._judge_refused_keys()
+            self.check_safety()
+            self._check_refused_keys()
         finally:
             self.world.close()
 
     @rule(key=KEYS, entry=ENTRIES, service_ms=st.sampled_from([5, 300, 2500]))
     def send(self, key: str, entry: str, service_ms: int) -> None:
-        """A caller sends a key, for the first time or again."""
+        """A caller sends a request under a key, for the first time or again."""
         if entry not in self.world.cell.entry_by_name:
             return
-        key = self._current(key)
+        key = self._usable_key(key)
         label = f"{key}#{next(self._labels)}"
         self._key_by_label[label] = key
         self.world.send(label, entry, key, service_ms=service_ms, deadline_ms=8000)
@@ -71,12 +72,12 @@
 
     @rule(process=PROCESSES, count=st.integers(1, 2))
     def lose_replies(self, process: str, count: int) -> None:
-        """The next replies of a process are lost."""
+        """The next replies from a process are lost."""
         self.world.fabric.faults(process).lost_replies = count
 
     @rule(entry=ENTRIES)
     def cut_from_table(self, entry: str) -> None:
-        """Cut one entry off from the table, which works for the others."""
+        """Cut one entry off from the table, which still serves the others."""
         self.world.fabric.cut.add(frozenset((entry, "table")))
 
     @rule(one=ENTRIES, other=PROCESSES)
@@ -97,7 +98,7 @@
 
     @rule(process=PROCESSES)
     def resume(self, process: str) -> None:
-        """Let it go on."""
+        """Resume a frozen process."""
         self.world.resume(process)
 
     @rule(entry=ENTRIES)
@@ -108,7 +109,7 @@
 
     @rule(entry=ENTRIES)
     def start_entry(self, entry: str) -> None:
-        """A crashed entry is started anew, with nothing in memory."""
+        """A crashed entry restarts with empty memory."""
         is_down = self.world.cell.table.faults.is_down
         if entry not in self.world.cell.entry_by_name and not is_down:
             self.world.resume(entry)
@@ -116,7 +117,7 @@
 
     @rule(instance=INSTANCES)
     def restart_attendant(self, instance: str) -> None:
-        """An attendant restarts, with nothing in memory; its upstream goes on."""
+        """An attendant restarts with empty memory; its upstream keeps running."""
         self.world.kill(instance)
         self.world.resume(instance)
         self.world.run(self.world.cell.start_attendant, instance)
@@ -128,20 +129,20 @@
 
     @rule()
     def lose_table_answer(self) -> None:
-        """The next write takes effect, and its answer is lost."""
+        """The next write takes effect, but its reply is lost."""
         self.world.cell.table.faults.lost_answers = 1
 
     @invariant()
-    def judge(self) -> None:
-        """Nothing ran twice, and every answer is true."""
+    def check_safety(self) -> None:
+        """No request ran twice, and every answer is correct."""
         assert not self.world.cell.observer.doubled, self.world.cell.observer.doubled
         for label, answer in self.world.answer_by_label.items():
-            if answer is not None and label not in self._judged:
-                self._judged.add(label)
-                self._judge_answer(label, answer)
+            if answer is not None and label not in self._checked_labels:
+                self._checked_labels.add(label)
+                self._check_answer(label, answer)
 
-    def _judge_refused_keys(self) -> None:
-        """See that a key whose every sending was refused as not run never ran."""
+    def _check_refused_keys(self) -> None:
+        """Check that a key never ran if all its requests were refused as not run."""
         statuses_by_key: dict[str, set[int]] = defaultdict(set)
         for label, answer in self.world.answer_by_label.items():
             status = 0 if answer is None else answer.status
@@ -149,17 +150,17 @@
         for key, statuses in statuses_by_key.items():
             assert statuses != {503} or self.world.runs(key) == 0, key
 
-    def _current(self, key: str) -> str:
-        """Return a key that no caller has kept for longer than is allowed."""
+    def _usable_key(self, key: str) -> str:
+        """Return the current generation of a key that callers may still repeat."""
         generation = self._generation_by_key.setdefault(key, 0)
         now = self.world.now()
         name = f"{key}.{generation}"
-        if now - self._first_sent_by_key.setdefault(name, now) > REPEAT_WITHIN_S:
+        if now - self._first_sent_by_key.setdefault(name, now) > MAX_REPEAT_S:
             self._generation_by_key[key] += 1
-            return self._current(key)
+            return self._usable_key(key)
         return name
 
-    def _judge_answer(self, label: str, answer: HttpResponse) -> None:
+    def _check_answer(self, label: str, answer: HttpResponse) -> None:
         key = self._key_by_label[label]
         runs = self.world.runs_at_answer_by_label[label]
         if answer.status == 200:
@@ -168,7 +169,7 @@
         elif answer.status == 503:
             title = json.loads(answer.body)["title"]
             assert title == "refused-not-run", answer
-            assert runs == 0, f"{key} had run, but: {answer.body!r}"
+            assert runs == 0, f"{key} ran but was refused: {answer.body!r}"
 
     def _heal_all(self) -> None:
         self.world.fabric.cut.clear()
