--- a/properties/list_edits.py
+++ b/properties/list_edits.py
@@ -1,4 +1,4 @@
-"""Racing operators, lost answers, outages and edits sent again."""
+"""List edits under concurrent operators, lost replies, outages and retries."""
 
 from __future__ import annotations
 
@@ -20,49 +20,49 @@
 
 __all__ = ["ListEdits"]
 
-_PATIENCE_S = 30.0
+_COMMIT_TIMEOUT_S = 30.0
 OPERATORS = st.sampled_from([0, 1, 2])
 
 
 class ListEdits(RuleBasedStateMachine):
-    """The oracle: the edits accepted, in order; their number is the version."""
+    """Compares the history with the accepted edits, whose number is the version."""
 
     def __init__(self) -> None:
         super().__init__()
         self.table = TableStandIn()
         self._holders = [ListHolder() for _ in range(3)]
-        self._read = [0, 0, 0]
+        self._version_read = [0, 0, 0]
         self._edit_by_operator: dict[int, Edit] = {}
-        self._accepted: dict[str, int] = {}
-        self._seen = [0, 0, 0]
+        self._version_by_token: dict[str, int] = {}
+        self._last_version = [0, 0, 0]
         self._tokens = itertools.count()
 
     @rule(operator=OPERATORS)
     def read(self, operator: int) -> None:
         """An operator reads the newest version."""
-        self._read[operator] = self._head()
+        self._version_read[operator] = self._head_version()
 
     @rule(operator=OPERATORS, value=st.integers(1, 9))
-    def begin(self, operator: int, value: int) -> None:
-        """An operator writes a new edit against what was read."""
+    def prepare_edit(self, operator: int, value: int) -> None:
+        """An operator prepares an edit based on the version that it has read."""
         token = f"token-{next(self._tokens)}"
         self._edit_by_operator[operator] = Edit(
             list=ListName.ALLOWANCES,
             change={f"plan-{operator}": {"processors": value, "memory_gb": 1}},
-            based_on=ListVersion(self._read[operator]),
+            based_on=ListVersion(self._version_read[operator]),
             author=f"operator-{operator}",
             token=token,
         )
 
     @rule(operator=OPERATORS)
     def send(self, operator: int) -> None:
-        """An operator's tool sends the edit, for the first time or again."""
+        """An operator sends its edit, for the first time or again."""
         edit = self._edit_by_operator.get(operator)
         if edit is None:
             return
         version = self._commit(operator, edit)
         if version is not None:
-            assert self._accepted.setdefault(edit.token, version) == version
+            assert self._version_by_token.setdefault(edit.token, version) == version
 
     @rule(is_down=st.booleans())
     def set_down(self, is_down: bool) -> None:
@@ -71,19 +71,19 @@
 
     @rule()
     def lose_answer(self) -> None:
-        """The next write takes effect, and its answer is lost."""
+        """The next write takes effect, but its reply is lost."""
         self.table.faults.lost_answers = 1
 
     @invariant()
-    def judge(self) -> None:
-        """Each accepted edit stands in the history once; versions only rise."""
+    def check_safety(self) -> None:
+        """Each accepted edit is in the history once; versions never decrease."""
         tokens = [record.edit.token for record in self._history()]
-        assert len(tokens) == len(set(tokens)) == self._head()
-        for token, version in self._accepted.items():
+        assert len(tokens) == len(set(tokens)) == self._head_version()
+        for token, version in self._version_by_token.items():
             assert tokens[version - 1] == token, (token, tokens)
         for index, holder in enumerate(self._holders):
-            assert holder.current.version >= self._seen[index]
-            self._seen[index] = holder.current.version
+            assert holder.current.version >= self._last_version[index]
+            self._last_version[index] = holder.current.version
 
     def _commit(self, operator: int, edit: Edit) -> int | None:
         return trio.run(
@@ -102,7 +102,7 @@
                 table=table, clock=TrioClock(), holder=self._holders[operator]
             )
             version = None
-            with trio.move_on_after(_PATIENCE_S):
+            with trio.move_on_after(_COMMIT_TIMEOUT_S):
                 try:
                     outcome = await editor.commit(edit)
                     if isinstance(outcome, Success):
@@ -112,7 +112,7 @@
             nursery.cancel_scope.cancel()
         return version
 
-    def _head(self) -> int:
+    def _head_version(self) -> int:
         row = self.table.row_by_key.get("lists/head")
         return 0 if row is None else row.version
 
