--- a/properties/planted.py
+++ b/properties/planted.py
@@ -1,4 +1,4 @@
-"""Faults planted on purpose, to show that an oracle catches them."""
+"""Faults planted in the code to show that the oracle of a machine detects them."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 @contextmanager
 def claims_without_asking() -> Iterator[None]:
-    """Let every entry take every claim without asking anybody."""
+    """Let every entry grant itself every claim without asking other entries."""
 
     async def take(self: Claims, request: Any, place: Any, **_: Any) -> Taking:
         claim = Claim(
@@ -64,7 +64,7 @@
 
 @contextmanager
 def cancel_without_tombstone() -> Iterator[None]:
-    """Let an attendant forget a cancellation as soon as it has confirmed it."""
+    """Let an attendant discard a tombstone as soon as it has confirmed the cancel."""
     original = ExecutionLedger.tombstone
 
     def tombstone(self: ExecutionLedger, request: Any, attempt: int) -> Any:
@@ -79,7 +79,7 @@
 
 @contextmanager
 def ledger_without_bounds() -> Iterator[None]:
-    """Let a worker's attendant admit whatever is proposed."""
+    """Let a worker's attendant admit every reservation, beyond the VM's capacity."""
 
     def reserve(self: CapacityLedger, reservation: Reservation) -> bool:
         self.reservation_by_task[reservation.task] = reservation
@@ -91,7 +91,7 @@
 
 @contextmanager
 def leases_lapsed_without_waiting() -> Iterator[None]:
-    """Declare workers lost without waiting for their lease."""
+    """Let an observer report all worker leases as lapsed without waiting for it."""
 
     def observe(self: LeaseObserver, rows: Any) -> Any:
         return [row for row in rows if row.key.startswith("worker/")]
@@ -102,7 +102,7 @@
 
 @contextmanager
 def running_tasks_loaded_as_queued() -> Iterator[None]:
-    """Let the owner start a task that is running somewhere already."""
+    """Let the owner load running tasks as queued, so that it starts them again."""
     original = TaskStore.load
 
     async def load(self: TaskStore, partition: int) -> Any:
@@ -121,7 +121,7 @@
 
 @contextmanager
 def edits_without_versions() -> Iterator[None]:
-    """Let an editor write over whatever the head has become."""
+    """Let an editor commit on top of any head, whatever the edit is based on."""
 
     async def commit(self: ListEditor, edit: Edit) -> Any:
         head = await read_head(self._table)
@@ -134,45 +134,47 @@
 
 @contextmanager
 def runs_given_up_early() -> Iterator[None]:
-    """Let the scheduler give a silent worker's runs up before its lease has ended."""
-    grant = Grants.grant
+    """Let the scheduler give up a silent worker's runs before its lease has ended."""
+    original = Grants.grant
 
-    def grant_and_forget(self: Grants, worker: Worker, confirmed_at: timedelta) -> int:
-        granted = grant(self, worker, confirmed_at)
+    def grant_with_early_end(
+        self: Grants, worker: Worker, confirmed_at: timedelta
+    ) -> int:
+        granted = original(self, worker, confirmed_at)
         worker.lease_end = self._clock.elapsed() + timedelta(seconds=1.5)
         return granted
 
-    with mock.patch.object(Grants, "grant", grant_and_forget):
+    with mock.patch.object(Grants, "grant", grant_with_early_end):
         yield
 
 
 @contextmanager
 def leases_renewed_out_of_reach() -> Iterator[None]:
-    """Let an attendant's word prolong the lease of a worker that it does not reach."""
-    answer = ActiveScheduler.handle_report
+    """Let a report extend the lease of a worker that its attendant cannot reach."""
+    original = ActiveScheduler.handle_report
 
-    def answer_and_prolong(self: ActiveScheduler, report: Report) -> ReportReply:
-        reply = answer(self, report)
+    def handle_and_extend(self: ActiveScheduler, report: Report) -> ReportReply:
+        reply = original(self, report)
         if not report.is_reachable or not report.life:
             worker = self._fleet.worker_by_id[report.worker]
             lease_end = self._clock.elapsed() + _LEASE
             worker.lease_end = max(worker.lease_end, lease_end)
         return reply
 
-    with mock.patch.object(ActiveScheduler, "handle_report", answer_and_prolong):
+    with mock.patch.object(ActiveScheduler, "handle_report", handle_and_extend):
         yield
 
 
 @contextmanager
 def refusals_without_proof() -> Iterator[None]:
-    """Let entries refuse a job whose row may stand, as one that will never run."""
-    mind = JobApi._apply_earlier_outcome
+    """Let entries refuse a job as never to run while its row may have been stored."""
+    original = JobApi._apply_earlier_outcome
 
     def refuse(self: JobApi, job_id: JobId, answer: JobAnswer) -> JobAnswer:
-        minded = mind(self, job_id, answer)
-        if minded.verdict is Verdict.UNKNOWN:
+        updated = original(self, job_id, answer)
+        if updated.verdict is Verdict.UNKNOWN:
             return JobAnswer(verdict=Verdict.NOT_DONE, retry_after=timedelta(seconds=1))
-        return minded
+        return updated
 
     with mock.patch.object(JobApi, "_apply_earlier_outcome", refuse):
         yield
@@ -180,6 +182,6 @@
 
 @contextmanager
 def answers_given_up_on_their_way() -> Iterator[None]:
-    """Let the time for an answer to begin bound the whole of it."""
+    """Apply the time-out for the start of an answer to the whole answer."""
     with mock.patch.object(links, "extend", lambda limit: None):
         yield
