--- a/properties/__init__.py
+++ b/properties/__init__.py
@@ -1,3 +1,3 @@
-"""Stateful fuzzing by hypothesis, each machine against a small oracle."""
+"""Stateful fuzzing with hypothesis; an oracle checks each state machine."""
 
 from __future__ import annotations
--- a/properties/__main__.py
+++ b/properties/__main__.py
@@ -1,4 +1,4 @@
-"""Runs a machine for long: `python -m properties NAME RUNS STEPS`."""
+"""Run one state machine with new seeds: `python -m properties NAME RUNS STEPS`."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Run one machine with new seeds."""
+    """Run one state machine with new seeds."""
     name, runs, steps = arguments
     if name not in MACHINE_BY_NAME:
         raise SystemExit(f"NAME: got {name!r}, expected {sorted(MACHINE_BY_NAME)}")
