--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,8 +1,8 @@
-"""Slopes of what each role costs, and what they come to at the size designed for.
+"""Measures the unit costs of each role and extrapolates them to the design size.
 
-Run by `make capacity`. Slopes are measured here, on loopback, in one process;
-the table after them is worked out from the slopes. Processor time of a call is
-that of both ends, of which each role is charged half.
+Run by `make capacity`. The unit costs are measured on loopback in one process; the
+table after them is computed from them. The processor time of a call covers both ends,
+and each role is charged half of it.
 """
 
 from __future__ import annotations
@@ -69,14 +69,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _Cost:
-    """Of one call or one second: processor seconds and loopback bytes."""
+    """Processor seconds and loopback bytes of one call or of one second."""
 
     processor_s: float
     wire_bytes: float
 
 
 def _loopback_bytes() -> int:
-    """Return what the loopback interface has carried, from /proc/net/dev."""
+    """Return the bytes that the loopback interface received, from /proc/net/dev."""
     for line in Path("/proc/net/dev").read_text().splitlines():
         name, _, counters = line.partition(":")
         if name.strip() == "lo":
@@ -85,41 +85,41 @@
 
 
 def _resident_bytes() -> int:
-    """Return this process's resident memory, from /proc/self/statm."""
+    """Return the resident memory of this process, from /proc/self/statm."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * _PAGE_BYTES
 
 
 async def _measure_calls(call: Callable[[], Awaitable[object]], idle: _Cost) -> _Cost:
-    """Return the cost of one call, less what goes on meanwhile anyway."""
+    """Return the cost of one call, less the idle cost over the same time."""
     await call()
-    began_at = time.perf_counter()
-    began, began_bytes = time.process_time(), _loopback_bytes()
+    started_at = time.perf_counter()
+    cpu_before, bytes_before = time.process_time(), _loopback_bytes()
     for _ in range(_CALLS):
         await call()
-    elapsed = time.perf_counter() - began_at
-    used = time.process_time() - began - elapsed * idle.processor_s
-    carried = _loopback_bytes() - began_bytes - elapsed * idle.wire_bytes
-    return _Cost(processor_s=used / _CALLS, wire_bytes=carried / _CALLS)
+    elapsed = time.perf_counter() - started_at
+    cpu_s = time.process_time() - cpu_before - elapsed * idle.processor_s
+    wire_bytes = _loopback_bytes() - bytes_before - elapsed * idle.wire_bytes
+    return _Cost(processor_s=cpu_s / _CALLS, wire_bytes=wire_bytes / _CALLS)
 
 
 async def _measure_idle(seconds: float) -> _Cost:
-    began, began_bytes = time.process_time(), _loopback_bytes()
+    cpu_before, bytes_before = time.process_time(), _loopback_bytes()
     await trio.sleep(seconds)
     return _Cost(
-        processor_s=(time.process_time() - began) / seconds,
-        wire_bytes=(_loopback_bytes() - began_bytes) / seconds,
+        processor_s=(time.process_time() - cpu_before) / seconds,
+        wire_bytes=(_loopback_bytes() - bytes_before) / seconds,
     )
 
 
 def _measure_object(make: Callable[[int], object]) -> float:
-    """Return the bytes that Python allocates for one of many objects."""
+    """Return the mean number of bytes that Python allocates per object."""
     tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
-    kept = [make(number) for number in range(_OBJECTS)]
-    grown = tracemalloc.get_traced_memory()[0] - before
+    bytes_at_start = tracemalloc.get_traced_memory()[0]
+    objects = [make(number) for number in range(_OBJECTS)]
+    allocated_bytes = tracemalloc.get_traced_memory()[0] - bytes_at_start
     tracemalloc.stop()
-    assert len(kept) == _OBJECTS
-    return grown / _OBJECTS
+    assert len(objects) == _OBJECTS
+    return allocated_bytes / _OBJECTS
 
 
 async def _measure() -> UnitCosts:
@@ -170,11 +170,11 @@
 
 
 async def _measure_claim(cell: Cell, idle: _Cost) -> _Cost:
-    one, other = cell.live_entries()[:2]
+    claimant, other = cell.live_entries()[:2]
     client = HttpPeerClient(transport=HttpClient())
     address = other.claim_members.own_row().claims
     request = ClaimRequest(
-        incarnation=one.incarnation, proposals=[Proposal(claim=_make_claim(1))]
+        incarnation=claimant.incarnation, proposals=[Proposal(claim=_make_claim(1))]
     )
 
     async def call() -> object:
@@ -184,10 +184,10 @@
 
 
 async def _measure_tasks(cell: Cell, idle: _Cost) -> tuple[float, float, float, float]:
-    """Return processor seconds, rows, commits and reads for a task's whole life."""
+    """Return processor seconds, rows, commits and reads per task, until its end."""
     table, transport = cell.table, cell.fabric.transport("customer")
     address = cell.live_entries()[0].describe().http
-    began_at, began = time.perf_counter(), time.process_time()
+    started_at, cpu_before = time.perf_counter(), time.process_time()
     rows, commits, reads = table.rows_written, table.commits, table.reads
     await trio.sleep(2)
     idle_rows, idle_commits = table.rows_written - rows, table.commits - commits
@@ -211,11 +211,11 @@
     while cell.observer.finishes_by_task.total() < _TASKS:
         await trio.sleep(0.05)
     await trio.sleep(1)
-    elapsed = time.perf_counter() - began_at
-    used = time.process_time() - began - elapsed * idle.processor_s
+    elapsed = time.perf_counter() - started_at
+    cpu_s = time.process_time() - cpu_before - elapsed * idle.processor_s
     scale = elapsed / 2
     return (
-        max(0.0, used) / _TASKS,
+        max(0.0, cpu_s) / _TASKS,
         (table.rows_written - rows - idle_rows * scale) / _TASKS,
         (table.commits - commits - idle_commits * scale) / _TASKS,
         (table.reads - reads - idle_reads * scale) / _TASKS,
@@ -278,7 +278,7 @@
         rack=f"rack-{number}",
         http=_ADDRESS,
         peers=_ADDRESS,
-        # Draining, so that the entry that is measured places nothing there.
+        # The worker is draining, so that the measured entry places no tasks on it.
         is_draining=True,
         worker=WorkerReport(
             capacity=Resources(processors=64, memory_gb=250),
@@ -297,7 +297,7 @@
 
 
 def main() -> None:
-    """Measure the slopes, and print them and what they come to."""
+    """Measure the unit costs, and print them with the extrapolated use."""
     print_report(trio.run(_measure))
 
 
--- a/benchmarks/capacity_model.py
+++ b/benchmarks/capacity_model.py
@@ -1,4 +1,4 @@
-"""From slopes to what each role costs at the size designed for."""
+"""Extrapolates unit costs to the resource use of each role at the design size."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 __all__ = ["UnitCosts", "print_report"]
 
-# The size designed for.
+# Size of the deployment that the design targets.
 WORKERS = 530
 INSTANCES = 1300
 ENTRIES = 4
 RUNNING_TASKS = 9600
 PEAK_STARTS_PER_S = 130
 JOBS_PER_DAY = 9400
-# Not in the users' letter: an assumption, to see what keys cost.
+# An assumption, not a requirement, to estimate the cost of keyed requests.
 KEYED_PER_S = 200
 EDITS_PER_DAY = 900
 LISTS_BYTES = 8000
 
-# Settings at that size, in seconds.
+# Settings at the design size; times in seconds.
 LEASE_S = 60.0
 HOLD_S = 60.0
 RETENTION_S = 600.0
 MAX_DECISIONS = 20_000
 
-# The budget of one daemon's control, and the table's.
+# Budgets for the control overhead of one daemon, and for operations of the table.
 BUDGET_CPU = 0.018
 BUDGET_BYTES_PER_S = 7000
 BUDGET_MEMORY = 128e6
@@ -36,14 +36,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class UnitCosts:
-    """What was measured: processor seconds, bytes, and table operations.
+    """Measured unit costs in processor seconds, bytes and table operations.
 
     Parameters
     ----------
     watch_s, claim_s : float
-        Both ends of one call.
+        Processor seconds of one call, at both ends.
     task_s : float
-        All daemons and stand-ins, for one task from submission to its end.
+        Processor seconds of all daemons and stand-ins for one task, from submission to
+        end.
     """
 
     idle_daemon_s: float
@@ -63,72 +64,92 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Line:
+class _ResourceUse:
     role: str
-    what: str
+    quantity: str
     amount: float
     budget: float
     unit: str
 
 
-def print_report(slopes: UnitCosts) -> None:
-    """Print the slopes, and each role's use beside its budget."""
+def print_report(costs: UnitCosts) -> None:
+    """Print the unit costs, and the use of each role next to its budget."""
     print("measured")
-    for field in fields(slopes):
-        print(f"  {field.name:<22}{getattr(slopes, field.name):,.6f}")
+    for field in fields(costs):
+        print(f"  {field.name:<22}{getattr(costs, field.name):,.6f}")
     print("extrapolated")
-    for line in _lines(slopes):
-        verdict = "ok" if line.amount <= line.budget else "OVER"
+    for use in _extrapolate(costs):
+        verdict = "ok" if use.amount <= use.budget else "OVER"
         print(
-            f"  {line.role:<20}{line.what:<34}{line.amount:>12,.4g} of "
-            f"{line.budget:>9,.4g} {line.unit:<9}{verdict}"
+            f"  {use.role:<20}{use.quantity:<34}{use.amount:>12,.4g} of "
+            f"{use.budget:>9,.4g} {use.unit:<9}{verdict}"
         )
 
 
-def _lines(s: UnitCosts) -> list[_Line]:
+def _extrapolate(costs: UnitCosts) -> list[_ResourceUse]:
     attendants = WORKERS + INSTANCES
-    every = attendants / HOLD_S
-    homed = every / ENTRIES
-    pushed = EDITS_PER_DAY * attendants * LISTS_BYTES / _DAY_S
-    # An entry does about half of what a task costs, its workers the rest.
-    per_task = s.task_s / 2 / ENTRIES
-    claims = KEYED_PER_S / ENTRIES * (ENTRIES - 1) * 2 * s.claim_s / 2
-    claims_bytes = KEYED_PER_S / ENTRIES * (ENTRIES - 1) * 2 * s.claim_bytes
+    # Currently each attendant announces itself to all entries. The "homed" rows show an
+    # alternative in which it announces itself to a single home entry.
+    announcements_per_s = attendants / HOLD_S
+    homed_per_s = announcements_per_s / ENTRIES
+    pushed_bytes_per_s = EDITS_PER_DAY * attendants * LISTS_BYTES / _DAY_S
+    # An entry accounts for about half of the cost of a task, its workers for the rest.
+    task_cpu_s = costs.task_s / 2 / ENTRIES
+    claims_cpu = KEYED_PER_S / ENTRIES * (ENTRIES - 1) * 2 * costs.claim_s / 2
+    claims_bytes = KEYED_PER_S / ENTRIES * (ENTRIES - 1) * 2 * costs.claim_bytes
     memory = (
-        s.base_bytes
-        + KEYED_PER_S * RETENTION_S * s.claim_memory_bytes
-        + RUNNING_TASKS / ENTRIES * s.task_memory_bytes
-        + MAX_DECISIONS * s.decision_memory_bytes
-        + attendants * s.member_memory_bytes
+        costs.base_bytes
+        + KEYED_PER_S * RETENTION_S * costs.claim_memory_bytes
+        + RUNNING_TASKS / ENTRIES * costs.task_memory_bytes
+        + MAX_DECISIONS * costs.decision_memory_bytes
+        + attendants * costs.member_memory_bytes
     )
-    leases = (WORKERS + ENTRIES) / (LEASE_S / 3)
+    lease_writes_per_s = (WORKERS + ENTRIES) / (LEASE_S / 3)
     return [
-        _cpu("entry, today's way", "announcements, all to all", every * s.watch_s / 2),
-        _cpu("entry, homed", "announcements, one home each", homed * s.watch_s / 2),
-        _cpu("entry", "tasks, mean of a day", JOBS_PER_DAY / _DAY_S * per_task),
-        _cpu("entry", "tasks, at the peak", PEAK_STARTS_PER_S * per_task),
-        _cpu("entry", f"claims, {KEYED_PER_S} keyed a second", claims),
-        _wire("entry, today's way", "announcements", every * s.watch_bytes),
-        _wire("entry, homed", "announcements", homed * s.watch_bytes),
-        _wire("entry, today's way", "pushed lists", pushed),
-        _wire("entry, homed", "pushed lists", pushed / ENTRIES),
+        _cpu(
+            "entry, current",
+            "announcements, all to all",
+            announcements_per_s * costs.watch_s / 2,
+        ),
+        _cpu(
+            "entry, homed",
+            "announcements, one home each",
+            homed_per_s * costs.watch_s / 2,
+        ),
+        _cpu("entry", "tasks, daily mean", JOBS_PER_DAY / _DAY_S * task_cpu_s),
+        _cpu("entry", "tasks, peak", PEAK_STARTS_PER_S * task_cpu_s),
+        _cpu("entry", f"claims, {KEYED_PER_S} keyed requests/s", claims_cpu),
+        _wire(
+            "entry, current",
+            "announcements",
+            announcements_per_s * costs.watch_bytes,
+        ),
+        _wire("entry, homed", "announcements", homed_per_s * costs.watch_bytes),
+        _wire("entry, current", "pushed lists", pushed_bytes_per_s),
+        _wire("entry, homed", "pushed lists", pushed_bytes_per_s / ENTRIES),
         _wire("entry", "claims", claims_bytes),
         _memory("entry", "all state", memory),
-        _cpu("attendant", "announcing to all", ENTRIES / HOLD_S * s.watch_s / 2),
-        _wire("attendant", "announcing to all", ENTRIES / HOLD_S * s.watch_bytes),
-        _memory("attendant", "base", s.base_bytes),
-        _table("writes, one a row", leases + PEAK_STARTS_PER_S * s.task_rows),
-        _table("writes, one a commit", leases + PEAK_STARTS_PER_S * s.task_commits),
-        _Line(
+        _cpu("attendant", "announcing to all", ENTRIES / HOLD_S * costs.watch_s / 2),
+        _wire("attendant", "announcing to all", ENTRIES / HOLD_S * costs.watch_bytes),
+        _memory("attendant", "base", costs.base_bytes),
+        _table(
+            "writes, one per row",
+            lease_writes_per_s + PEAK_STARTS_PER_S * costs.task_rows,
+        ),
+        _table(
+            "writes, one per commit",
+            lease_writes_per_s + PEAK_STARTS_PER_S * costs.task_commits,
+        ),
+        _ResourceUse(
             role="table",
-            what="reads",
-            amount=PEAK_STARTS_PER_S * s.task_reads + attendants / LEASE_S * 3,
+            quantity="reads",
+            amount=PEAK_STARTS_PER_S * costs.task_reads + attendants / LEASE_S * 3,
             budget=BUDGET_READS_PER_S,
             unit="1/s",
         ),
-        _Line(
+        _ResourceUse(
             role="table",
-            what="reads, a data centre back at once",
+            quantity="reads, whole data centre returns",
             amount=attendants / 5 * 18 / 10,
             budget=BUDGET_READS_PER_S,
             unit="1/s",
@@ -136,28 +157,32 @@
     ]
 
 
-def _cpu(role: str, what: str, amount: float) -> _Line:
-    return _Line(
-        role=role, what=what, amount=amount, budget=BUDGET_CPU, unit="of a core"
+def _cpu(role: str, quantity: str, amount: float) -> _ResourceUse:
+    return _ResourceUse(
+        role=role, quantity=quantity, amount=amount, budget=BUDGET_CPU, unit="of a core"
     )
 
 
-def _wire(role: str, what: str, amount: float) -> _Line:
-    return _Line(
-        role=role, what=what, amount=amount, budget=BUDGET_BYTES_PER_S, unit="B/s"
+def _wire(role: str, quantity: str, amount: float) -> _ResourceUse:
+    return _ResourceUse(
+        role=role,
+        quantity=quantity,
+        amount=amount,
+        budget=BUDGET_BYTES_PER_S,
+        unit="B/s",
     )
 
 
-def _memory(role: str, what: str, amount: float) -> _Line:
-    return _Line(
-        role=role, what=what, amount=amount, budget=BUDGET_MEMORY, unit="bytes"
+def _memory(role: str, quantity: str, amount: float) -> _ResourceUse:
+    return _ResourceUse(
+        role=role, quantity=quantity, amount=amount, budget=BUDGET_MEMORY, unit="bytes"
     )
 
 
-def _table(what: str, amount: float) -> _Line:
-    return _Line(
+def _table(quantity: str, amount: float) -> _ResourceUse:
+    return _ResourceUse(
         role="table",
-        what=what,
+        quantity=quantity,
         amount=amount,
         budget=BUDGET_WRITES_PER_S,
         unit="1/s",
