--- a/benchmarks/pressures.py
+++ b/benchmarks/pressures.py
@@ -1,8 +1,8 @@
-"""How soon and how surely heavy fillers are told from light ones, and at what cost.
+"""Measures how fast and accurately heavy fillers are classified, and the cost.
 
-Prints, over seeds, the part of pairs that are taken for the right kind some seconds
-after their filler has started, and the processor time of a look as a ratio to that of
-a look without fillers.
+Prints, over all seeds, the share of images that are correctly classified as light or
+heavy some seconds after their filler has started, and the processor time of a poll
+with fillers as a ratio to that of a poll without fillers.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from standins.interference import LOOK_S, InterferedService
 
 _SEEDS = 40
-_SETTLED_S = 10.0
+_WARMUP_S = 10.0
 _TARGET_MS = 45.0
 _TASKS = 3
 _SHARE = 0.08
@@ -25,17 +25,17 @@
 
 
 def main() -> None:
-    """Print the figures."""
+    """Print the accuracy and the cost."""
     for after_s in (0.5, 1.0, 2.0, 5.0):
-        right = sum(_judge(seed, after_s) for seed in range(_SEEDS))
-        part = right / (_SEEDS * len(_PRESSURE_BY_IMAGE))
-        print(f"right kind {after_s} s after the start: {part:.2f}")
-    alone = _time_looks({})
-    beside = _time_looks(dict.fromkeys(_PRESSURE_BY_IMAGE, _SHARE))
-    print(f"a look beside three fillers' images, to one without: {beside / alone:.1f}")
+        correct = sum(_count_correct(seed, after_s) for seed in range(_SEEDS))
+        accuracy = correct / (_SEEDS * len(_PRESSURE_BY_IMAGE))
+        print(f"correctly classified {after_s} s after the start: {accuracy:.2f}")
+    baseline_s = _time_updates({})
+    loaded_s = _time_updates(dict.fromkeys(_PRESSURE_BY_IMAGE, _SHARE))
+    print(f"time of a poll, three fillers to none: {loaded_s / baseline_s:.1f}")
 
 
-def _play(
+def _simulate(
     random: Random, seconds: float, start_s: float, share_by_image: Mapping[str, float]
 ) -> PressureLearner:
     phase = random.uniform(0, 6.28)
@@ -67,20 +67,22 @@
     return learner
 
 
-def _judge(seed: int, after_s: float) -> int:
-    """Return for how many images alone on the worker the kind is right."""
-    right = 0
+def _count_correct(seed: int, after_s: float) -> int:
+    """Return how many images are classified correctly, each alone on the worker."""
+    correct = 0
     for image, pressure in _PRESSURE_BY_IMAGE.items():
-        learner = _play(Random(seed), _SETTLED_S + after_s, _SETTLED_S, {image: _SHARE})
+        learner = _simulate(
+            Random(seed), _WARMUP_S + after_s, _WARMUP_S, {image: _SHARE}
+        )
         is_light = learner.pressure(image, "svc").value < MAX_LIGHT_PRESSURE
-        right += is_light == (pressure < 1.0)
-    return right
+        correct += is_light == (pressure < 1.0)
+    return correct
 
 
-def _time_looks(share_by_image: Mapping[str, float]) -> float:
-    begun = time.process_time()
-    _play(Random(1), 300.0, 0.0, share_by_image)
-    return time.process_time() - begun
+def _time_updates(share_by_image: Mapping[str, float]) -> float:
+    started_at = time.process_time()
+    _simulate(Random(1), 300.0, 0.0, share_by_image)
+    return time.process_time() - started_at
 
 
 if __name__ == "__main__":
