--- a/benchmarks/outage.py
+++ b/benchmarks/outage.py
@@ -1,7 +1,7 @@
-"""What an outage of the table costs running tasks, on a virtual clock.
+"""Measures how an outage of the table delays running tasks, on a virtual clock.
 
-Run by `python -m benchmarks.outage`: tasks run on two workers, the table goes
-down for 0, 1, 10 and 60 minutes, and all are seen to their end.
+Run by `python -m benchmarks.outage`: tasks run on two workers, the table is down for
+0, 1, 10 and 60 minutes, and the benchmark waits until all tasks have ended.
 """
 
 from __future__ import annotations
@@ -46,13 +46,13 @@
     doubled: int
 
 
-async def _play(outage_s: float) -> _Outcome:
+async def _run_with_outage(outage_s: float) -> _Outcome:
     async with trio.open_nursery() as nursery:
         cell = Cell(deployment=_DEPLOYMENT, nursery=nursery, fabric=MemoryFabric())
         await cell.start()
         for number in range(_TASKS):
             await _submit(cell, f"task-{number}")
-        began = trio.current_time()
+        started_at = trio.current_time()
         await trio.sleep(30)
         cell.table.faults.is_down = outage_s > 0
         await trio.sleep(outage_s)
@@ -61,7 +61,7 @@
             await trio.sleep(0.5)
         starts = cell.observer.done_s_at_starts_by_task.values()
         outcome = _Outcome(
-            last_end_s=trio.current_time() - began,
+            last_end_s=trio.current_time() - started_at,
             starts=sum(len(each) for each in starts),
             doubled=len(cell.observer.doubled),
         )
@@ -89,15 +89,18 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Run the tasks with each outage and print the delays."""
     baseline_s = 0.0
     for outage_s in _OUTAGES_S:
-        outcome = trio.run(_play, outage_s, clock=MockClock(autojump_threshold=0))
+        outcome = trio.run(
+            _run_with_outage, outage_s, clock=MockClock(autojump_threshold=0)
+        )
         baseline_s = baseline_s or outcome.last_end_s
         print(
             f"table down {outage_s:.0f} s: last of {_TASKS} tasks ended after "
             f"{outcome.last_end_s:.0f} s, {outcome.last_end_s - baseline_s:.0f} s "
-            f"later than without, {outcome.starts} starts, {outcome.doubled} doubled"
+            f"later than without an outage, {outcome.starts} starts, "
+            f"{outcome.doubled} doubled"
         )
 
 
