--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -1,7 +1,7 @@
-"""Each policy against its baseline, on a shipped trace, on a virtual clock.
+"""Compares each policy with its baseline on a shipped trace, on a virtual clock.
 
-Run by `python -m benchmarks.policies`. The trace is Tregarth's; the service has
-few slots here, so that routing matters.
+Run by `python -m benchmarks.policies`. The trace is Tregarth's. The service has few
+slots, so that routing affects latency.
 """
 
 from __future__ import annotations
@@ -34,10 +34,10 @@
 
 
 _BASELINE = _Policies(routing="round-robin", placement="first-fit")
-_CONSIDERED = _Policies(routing="two-choices", placement="tightest-fit")
+_CANDIDATE = _Policies(routing="two-choices", placement="tightest-fit")
 
 
-async def _play(policies: _Policies) -> Report:
+async def _run_trace(policies: _Policies) -> Report:
     examples = Path(str(resources.files("standins"))) / "examples"
     deployment = load_deployment(examples / "tregarth.yaml").unwrap()
     service = deployment.service.model_copy(
@@ -75,10 +75,10 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Run the trace under both sets of policies and print the results."""
     baseline_p99 = 0.0
-    for policies in (_BASELINE, _CONSIDERED):
-        report = trio.run(_play, policies, clock=MockClock(autojump_threshold=0))
+    for policies in (_BASELINE, _CANDIDATE):
+        report = trio.run(_run_trace, policies, clock=MockClock(autojump_threshold=0))
         p99 = _weighted_p99(report)
         baseline_p99 = baseline_p99 or p99
         print(
