--- a/benchmarks/propagation.py
+++ b/benchmarks/propagation.py
@@ -1,4 +1,4 @@
-"""How long from an edit's acceptance until it is in force at the last daemon.
+"""Measures the time from the acceptance of an edit until all daemons apply it.
 
 Run by `python -m benchmarks.propagation`: 24 daemons (2 entries, 11 instances,
 11 workers) in one process on loopback, real time.
@@ -27,11 +27,11 @@
 __all__ = ["main"]
 
 _EDITS = 8
-_GIVE_UP_S = 20.0
+_TIMEOUT_S = 20.0
 _SLOW_S = 0.3
 
 
-def _leave(faults: Faults) -> None:
+def _do_nothing(faults: Faults) -> None:
     """Leave the table as it is."""
 
 
@@ -46,22 +46,22 @@
         cell = Cell(deployment=deployment, nursery=nursery, fabric=LoopbackFabric())
         await cell.start()
         await trio.sleep(1)
-        await _measure_case(cell, "table up", 0.0, _leave)
-        await _measure_case(cell, f"table slow by {_SLOW_S} s", _SLOW_S, _leave)
-        await _measure_case(cell, "table down right after", 0.0, _take_down)
+        await _measure_case(cell, "table up", 0.0, _do_nothing)
+        await _measure_case(cell, f"table slow by {_SLOW_S} s", _SLOW_S, _do_nothing)
+        await _measure_case(cell, "table down after acceptance", 0.0, _take_down)
         nursery.cancel_scope.cancel()
 
 
 async def _measure_case(
-    cell: Cell, name: str, delay_s: float, after: Callable[[Faults], None]
+    cell: Cell, name: str, delay_s: float, inject: Callable[[Faults], None]
 ) -> None:
     durations = []
     for _ in range(_EDITS):
         cell.table.faults.delay_s = delay_s
-        version = await _edit(cell)
+        version = await _submit_edit(cell)
         accepted_at = time.perf_counter()
-        after(cell.table.faults)
-        with trio.fail_after(_GIVE_UP_S):
+        inject(cell.table.faults)
+        with trio.fail_after(_TIMEOUT_S):
             while any(d.holder.current.version < version for d in _daemons(cell)):
                 await trio.sleep(0.002)
         durations.append(time.perf_counter() - accepted_at)
@@ -74,7 +74,7 @@
     )
 
 
-async def _edit(cell: Cell) -> ListVersion:
+async def _submit_edit(cell: Cell) -> ListVersion:
     entry = cell.live_entries()[0]
     version = entry.holder.current.version
     edit = Edit(
@@ -102,7 +102,7 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Measure and print the propagation times."""
     trio.run(_measure)
 
 
