--- a/benchmarks/keyed_requests.py
+++ b/benchmarks/keyed_requests.py
@@ -1,7 +1,7 @@
-"""What a key costs: keyed against unkeyed requests, in turn, in one process.
+"""Measures the cost of a key: keyed and unkeyed requests, alternating in one process.
 
-Run by `python -m benchmarks.keyed_requests`. Processor time is that of all
-daemons, stand-ins and the caller together.
+Run by `python -m benchmarks.keyed_requests`. Processor time is the sum over all
+daemons, stand-ins and the caller.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(kw_only=True)
 class _Cost:
-    """Milliseconds a request."""
+    """Wall time and processor time per request in milliseconds, one value per round."""
 
     wall: list[float] = field(default_factory=list)
     processor: list[float] = field(default_factory=list)
@@ -51,7 +51,7 @@
 async def _run_round(cell: Cell, name: str, number: int, cost: _Cost) -> None:
     transport = cell.fabric.transport("caller")
     address = cell.live_entries()[0].describe().http
-    began, began_cpu = time.perf_counter(), time.process_time()
+    started_at, cpu_before = time.perf_counter(), time.process_time()
     for index in range(_REQUESTS):
         headers = {"x-customer": "arolwg-de", "x-service-ms": "0"}
         if name == "keyed":
@@ -61,8 +61,8 @@
         )
         response = await transport.send(address, request)
         assert response.status == 200, response
-    cost.wall.append((time.perf_counter() - began) * 1000 / _REQUESTS)
-    cost.processor.append((time.process_time() - began_cpu) * 1000 / _REQUESTS)
+    cost.wall.append((time.perf_counter() - started_at) * 1000 / _REQUESTS)
+    cost.processor.append((time.process_time() - cpu_before) * 1000 / _REQUESTS)
 
 
 def _show(cost_by_name: dict[str, _Cost]) -> None:
@@ -79,7 +79,7 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Measure and print the cost of both kinds of request."""
     trio.run(_measure)
 
 
