--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -1,10 +1,10 @@
-"""Draws deployments that nobody has looked at, as variants of a site file.
+"""Generates random variants of a site file, for tests on unseen deployments.
 
 `python -m benchmarks.deployments SITE SEED OUT` reads a site file of the users' bench,
-changes by a seed what its customer runs and where (never its names, its bounds or its
-prices), and writes another site file. Two versions of the code can then be compared on
-what neither was tuned on. It holds no figure of any site: all are drawn around what it
-reads.
+varies the customer's jobs and machines by a seed (never its names, bounds or prices),
+and writes another site file. This compares two versions of the code on deployments
+that neither was tuned on. The module holds no figures of any site: it scales the
+values that it reads, or draws shape parameters from fixed ranges.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def vary(site: _Table, random: Random) -> _Table:
-    """Change a site in place, and return it.
+    """Vary a site in place and return it.
 
     Parameters
     ----------
@@ -31,11 +31,11 @@
         As read from a site file.
     """
     _vary_workers(site, random)
-    fillers = random.uniform(0.6, 1.2)
-    others = random.uniform(0.5, 1.5)
+    filler_factor = random.uniform(0.6, 1.2)
+    other_factor = random.uniform(0.5, 1.5)
     for kind in site["classes"]:
         _vary_kind(kind, random)
-    filling = {
+    filler_names = {
         kind["name"]
         for kind in site["classes"]
         if kind.get("jobs", {}).get("shares", {}).get("fills")
@@ -43,12 +43,14 @@
     for table in (site, *site["day"]):
         for traffic in table["traffic"]:
             for name in traffic["mix"]:
-                traffic["mix"][name] *= fillers if name in filling else others
+                traffic["mix"][name] *= (
+                    filler_factor if name in filler_names else other_factor
+                )
     return site
 
 
 def _vary_workers(site: _Table, random: Random) -> None:
-    """Change how many workers there are, how large, and what shares a rack."""
+    """Vary the number and sizes of workers, and how many share a rack."""
     scale = random.choice([0.75, 1.0, 1.5])
     for machines in site["machines"]:
         if machines["class"] == "side":
@@ -61,7 +63,7 @@
 
 
 def _vary_kind(kind: _Table, random: Random) -> None:
-    """Change the shape of a kind of job, and how its tasks disturb one another."""
+    """Vary the shape of a kind of job and the interference between its tasks."""
     jobs = kind.get("jobs")
     if jobs is None:
         return
@@ -88,7 +90,7 @@
 
 def main(
     site: Annotated[Path, typer.Argument(help="The site file to vary.")],
-    seed: Annotated[int, typer.Argument(help="Draws the same variant each time.")],
+    seed: Annotated[int, typer.Argument(help="The same seed gives the same variant.")],
     out: Annotated[Path, typer.Argument(help="The site file to write.")],
 ) -> None:
     """Write a variant of a site file."""
