--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,3 +1,3 @@
-"""Measurements, apart from the tests."""
+"""Benchmarks, which are not part of the tests."""
 
 from __future__ import annotations
