--- a/coltsfoottray/scheduler/live.py
+++ b/coltsfoottray/scheduler/live.py
@@ -85,7 +85,7 @@
     ticket_by_life: dict[str, Ticket] = field(default_factory=dict)
     advice_state: AdviceState = field(default_factory=AdviceState)
     last_tried_round: int = 0
-    hindrance: WaitReason | None = None
+    wait_reason: WaitReason | None = None
 
     def __post_init__(self) -> None:
         self.recount()
@@ -169,7 +169,7 @@
         The part of the progress that callers ask for, stored in a row of its own.
     summary_version : int
         Version of the summary's row, 0 if there is none.
-    lengths : LengthBook
+    lengths : LengthEstimator
         Estimates how long its tasks take.
     """
 
--- a/coltsfoottray/scheduler/wait_reason.py
+++ b/coltsfoottray/scheduler/wait_reason.py
@@ -27,11 +27,11 @@
 def record_wait_reason(step: LiveStep, reason: WaitReason) -> None:
     """Record why the waiting tasks of a step wait, and log it if it has changed."""
     if not step.waiting:
-        step.hindrance = None
+        step.wait_reason = None
         return
-    if step.hindrance is reason:
+    if step.wait_reason is reason:
         return
-    step.hindrance = reason
+    step.wait_reason = reason
     log_event(
         "decision:wait",
         step=f"{step.job.id}.{step.occurrence}.{step.number}",
