--- a/coltsfoottray/agent/reporter.py
+++ b/coltsfoottray/agent/reporter.py
@@ -13,7 +13,12 @@
 from coltsfoottray.kernel import Service
 from coltsfoottray.logs import log_event
 from coltsfoottray.peers import PeerClient
-from coltsfoottray.scheduler.messages import REPORT, Acknowledged, Hello, ReportReply
+from coltsfoottray.scheduler.messages import (
+    REPORT,
+    Acknowledged,
+    ReportReply,
+    SchedulerAnnouncement,
+)
 from coltsfoottray.types import Address
 
 __all__ = ["Reporter"]
@@ -49,15 +54,17 @@
         self._epoch = 0
         self._attempt = trio.CancelScope()
 
-    async def handle_hello(self, hello: Hello) -> Acknowledged:
+    async def handle_announcement(
+        self, announcement: SchedulerAnnouncement
+    ) -> Acknowledged:
         """Report to a new scheduler without delay.
 
         A report in progress to another entry is cancelled: after a power failure that
         entry may still be off, and the report would block until its timeout.
         """
-        if hello.epoch > self._epoch:
-            self._epoch = hello.epoch
-            self._scheduler = hello.scheduler
+        if announcement.epoch > self._epoch:
+            self._epoch = announcement.epoch
+            self._scheduler = announcement.scheduler
             self._attempt.cancel()
             self._attendant.report_requested.set()
         return Acknowledged()
@@ -86,7 +93,7 @@
         if current is not None:
             found = await self._report_to(current)
             if self._scheduler is not current:
-                # A new scheduler has sent its Hello in the meantime.
+                # A new scheduler has announced itself in the meantime.
                 return True
             self._scheduler = found
             if found is not None:
--- a/coltsfoottray/daemons/job_attendant.py
+++ b/coltsfoottray/daemons/job_attendant.py
@@ -14,7 +14,7 @@
 from coltsfoottray.platform.heartbeats import HeartbeatHandler
 from coltsfoottray.platform.instance import InstanceLink
 from coltsfoottray.scheduler.lease import LeaseRow
-from coltsfoottray.scheduler.messages import HELLO, ORDERS
+from coltsfoottray.scheduler.messages import ORDERS, SCHEDULER_ANNOUNCEMENT
 from coltsfoottray.settings import JobAttendantSettings
 from coltsfoottray.types import Address, Role
 
@@ -52,7 +52,7 @@
             candidates=self._find_entries,
         )
         self.handlers.add(ORDERS, self.attendant.handle_orders)
-        self.handlers.add(HELLO, reporter.handle_hello)
+        self.handlers.add(SCHEDULER_ANNOUNCEMENT, reporter.handle_announcement)
         self.register_peer_server()
         handler = HeartbeatHandler(attendant=self.attendant)
         server = self.listeners.http(settings.heartbeats, handler.handle)
--- a/coltsfoottray/scheduler/messages.py
+++ b/coltsfoottray/scheduler/messages.py
@@ -12,15 +12,15 @@
 from coltsfoottray.types import Address, Resources
 
 __all__ = [
-    "HELLO",
+    "JOB_NOTIFICATION",
     "ORDERS",
     "PING",
     "REPORT",
+    "SCHEDULER_ANNOUNCEMENT",
     "STATE",
-    "TELL",
     "Acknowledged",
     "EndKind",
-    "Hello",
+    "JobNotification",
     "Orders",
     "Ping",
     "PingReply",
@@ -30,10 +30,10 @@
     "ReportReply",
     "RunEnd",
     "RunStatus",
+    "SchedulerAnnouncement",
     "StartOrder",
     "StateQuery",
     "StateReply",
-    "Tell",
 ]
 
 
@@ -192,14 +192,14 @@
     pressures: list[Pressure] = msgspec.field(default_factory=list)
 
 
-class Hello(msgspec.Struct, frozen=True, kw_only=True):
+class SchedulerAnnouncement(msgspec.Struct, frozen=True, kw_only=True):
     """Announces the scheduler to an attendant; the highest epoch is valid."""
 
     epoch: int
     scheduler: Address
 
 
-class Tell(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
+class JobNotification(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
     """Stored acceptances and cancellations, sent because the change feed is slower."""
 
     accepted: list[AcceptedJob] = msgspec.field(default_factory=list)
@@ -212,7 +212,7 @@
     Parameters
     ----------
     is_scheduler : bool
-        False if an entry that received a `Tell` is not the scheduler.
+        False if an entry that received a `JobNotification` is not the scheduler.
     """
 
     is_scheduler: bool = True
@@ -250,8 +250,12 @@
 
 
 REPORT = Call(name="Report", request_type=Report, reply_type=ReportReply)
-HELLO = Call(name="Hello", request_type=Hello, reply_type=Acknowledged)
+SCHEDULER_ANNOUNCEMENT = Call(
+    name="Hello", request_type=SchedulerAnnouncement, reply_type=Acknowledged
+)
 ORDERS = Call(name="Orders", request_type=Orders, reply_type=Acknowledged)
-TELL = Call(name="Tell", request_type=Tell, reply_type=Acknowledged)
+JOB_NOTIFICATION = Call(
+    name="Tell", request_type=JobNotification, reply_type=Acknowledged
+)
 STATE = Call(name="State", request_type=StateQuery, reply_type=StateReply)
 PING = Call(name="Ping", request_type=Ping, reply_type=PingReply)
--- a/coltsfoottray/scheduler/service.py
+++ b/coltsfoottray/scheduler/service.py
@@ -27,20 +27,20 @@
 from coltsfoottray.scheduler.advice import Adviser, run_advice_loop
 from coltsfoottray.scheduler.lease import LeaseRow, LeaseWatch
 from coltsfoottray.scheduler.messages import (
-    HELLO,
+    JOB_NOTIFICATION,
     PING,
     REPORT,
+    SCHEDULER_ANNOUNCEMENT,
     STATE,
-    TELL,
     Acknowledged,
-    Hello,
+    JobNotification,
     Ping,
     PingReply,
     Report,
     ReportReply,
+    SchedulerAnnouncement,
     StateQuery,
     StateReply,
-    Tell,
 )
 from coltsfoottray.scheduler.restore import read_stored_state
 from coltsfoottray.scheduler.sweep import run_sweep_loop
@@ -53,11 +53,11 @@
 # Random delay that keeps two entries that find the row free at once from both writing.
 _MAX_STAGGER_S = 0.05
 _CALL_TIMEOUT = timedelta(milliseconds=400)
-# After a power loss, daemons restart within a second of each other. Hellos are repeated
-# for at least that long.
-_MAX_HELLOS = 10
-_HELLO_TIMEOUT = timedelta(milliseconds=200)
-_HELLO_INTERVAL = timedelta(milliseconds=100)
+# After a power loss, daemons restart within a second of each other. Announcements are
+# repeated for at least that long.
+_MAX_ANNOUNCEMENTS = 10
+_ANNOUNCEMENT_TIMEOUT = timedelta(milliseconds=200)
+_ANNOUNCEMENT_INTERVAL = timedelta(milliseconds=100)
 _RESIGN_POLL_INTERVAL = timedelta(milliseconds=20)
 _RESIGN_TIMEOUT = timedelta(seconds=1)
 
@@ -102,7 +102,7 @@
         """Register handlers for the calls of attendants and other entries."""
         handlers.add(PING, self._handle_ping)
         handlers.add(REPORT, self._handle_report)
-        handlers.add(TELL, self._handle_tell)
+        handlers.add(JOB_NOTIFICATION, self._handle_notification)
         handlers.add(STATE, self._handle_state)
 
     async def run(  # noqa: D102
@@ -137,14 +137,14 @@
         if self._active is not None:
             self._active.notify_accepted(job)
             return
-        await self._notify(Tell(accepted=[job]))
+        await self._notify(JobNotification(accepted=[job]))
 
     async def notify_cancelled(self, job: JobId) -> None:
         """Notify the scheduler of a cancellation that has just been stored."""
         if self._active is not None:
             self._active.notify_cancelled(job)
             return
-        await self._notify(Tell(cancelled=[job]))
+        await self._notify(JobNotification(cancelled=[job]))
 
     async def query_state(self, job: JobId) -> JobState | None:
         """Return the state of a job from the scheduler, None if unavailable."""
@@ -277,11 +277,13 @@
         They find a new scheduler by themselves when the previous one is silent, but
         not when that one is only cut off from the table and still answers them.
         """
-        hello = Hello(epoch=lease.epoch, scheduler=lease.address)
+        announcement = SchedulerAnnouncement(epoch=lease.epoch, scheduler=lease.address)
         async with trio.open_nursery() as nursery:
             for member in await self._read_members():
                 if member.role is Role.WORKER:
-                    nursery.start_soon(self._send_hello, member.address, hello)
+                    nursery.start_soon(
+                        self._send_announcement, member.address, announcement
+                    )
 
     async def _read_members(self) -> list[MemberRow]:
         """Return the members, retrying until the table answers.
@@ -294,12 +296,19 @@
                 return await read_members(self._table)
             except TableUnavailable as error:
                 log_event("scheduler:not-introduced", reason=str(error))
-                await self._clock.sleep(_HELLO_INTERVAL)
+                await self._clock.sleep(_ANNOUNCEMENT_INTERVAL)
 
-    async def _send_hello(self, address: Address, hello: Hello) -> None:
-        for _ in range(_MAX_HELLOS):
+    async def _send_announcement(
+        self, address: Address, announcement: SchedulerAnnouncement
+    ) -> None:
+        for _ in range(_MAX_ANNOUNCEMENTS):
             try:
-                await self._peers.call(address, HELLO, hello, timeout=_HELLO_TIMEOUT)
+                await self._peers.call(
+                    address,
+                    SCHEDULER_ANNOUNCEMENT,
+                    announcement,
+                    timeout=_ANNOUNCEMENT_TIMEOUT,
+                )
                 return
             except CommunicationError as error:
                 # The attendant may be starting or gone. It finds the scheduler by
@@ -307,7 +316,7 @@
                 log_event(
                     "scheduler:greeting-failed", peer=str(address), reason=str(error)
                 )
-            await self._clock.sleep(_HELLO_INTERVAL)
+            await self._clock.sleep(_ANNOUNCEMENT_INTERVAL)
 
     # Handlers of calls.
 
@@ -321,12 +330,12 @@
         row = self._watch.row
         return ReportReply(scheduler=None if row is None else row.address)
 
-    async def _handle_tell(self, tell: Tell) -> Acknowledged:
+    async def _handle_notification(self, notification: JobNotification) -> Acknowledged:
         if self._active is None:
             return Acknowledged(is_scheduler=False)
-        for job in tell.accepted:
+        for job in notification.accepted:
             self._active.notify_accepted(job)
-        for job_id in tell.cancelled:
+        for job_id in notification.cancelled:
             self._active.notify_cancelled(job_id)
         return Acknowledged()
 
@@ -334,12 +343,14 @@
         state = None if self._active is None else self._active.state_of(query.job)
         return StateReply(state=state)
 
-    async def _notify(self, tell: Tell) -> None:
+    async def _notify(self, notification: JobNotification) -> None:
         row = self._watch.row
         if row is None or row.is_resigned:
             return
         try:
-            await self._peers.call(row.address, TELL, tell, timeout=_CALL_TIMEOUT)
+            await self._peers.call(
+                row.address, JOB_NOTIFICATION, notification, timeout=_CALL_TIMEOUT
+            )
         except CommunicationError as error:
             # The scheduler reads it from the table's changes shortly afterwards.
             log_event("scheduler:tell-failed", peer=str(row.address), reason=str(error))
