--- a/coltsfoottray/agent/pressure.py
+++ b/coltsfoottray/agent/pressure.py
@@ -21,7 +21,7 @@
 __all__ = [
     "MAX_LIGHT_PRESSURE",
     "PRIOR",
-    "SERVICE_USE",
+    "SERVICE_USAGE",
     "Estimate",
     "ImagePair",
     "Pressure",
@@ -30,7 +30,7 @@
 ]
 
 # Share of its reservation that a service with a latency target uses outside load peaks.
-SERVICE_USE = 0.5
+SERVICE_USAGE = 0.5
 
 # Pairs below this pressure are light: slowing such fillers hardly helps services.
 MAX_LIGHT_PRESSURE = 4.0
--- a/coltsfoottray/agent/speeds.py
+++ b/coltsfoottray/agent/speeds.py
@@ -11,7 +11,7 @@
     Pacer,
     is_significant_change,
 )
-from coltsfoottray.agent.pressure import SERVICE_USE, Pressure, ServiceMargin
+from coltsfoottray.agent.pressure import SERVICE_USAGE, Pressure, ServiceMargin
 from coltsfoottray.agent.runs import Runs
 from coltsfoottray.agent.worker import Heartbeat, WorkerLink, WorkerReplaced
 from coltsfoottray.clock import Clock
@@ -141,7 +141,7 @@
 def _available_share(heartbeat: Heartbeat, runs: Runs) -> float:
     """Return the share of the worker's processors that other tasks leave to fillers."""
     used = sum(
-        order.processors * (SERVICE_USE if order.target_latency_ms else 1.0)
+        order.processors * (SERVICE_USAGE if order.target_latency_ms else 1.0)
         for order in runs.order_by_ref.values()
         if not order.is_filler
     )
--- a/coltsfoottray/scheduler/active.py
+++ b/coltsfoottray/scheduler/active.py
@@ -195,7 +195,7 @@
                 self._writer.discard(orphan.key, orphan.version)
         if stored.pressures is not None:
             pressures = stored.pressures.decode(list[Pressure])
-            self._writer.adopt_pressures(stored.pressures.version, pressures)
+            self._writer.restore_pressures(stored.pressures.version, pressures)
             self.cluster.pressures.restore(pressures)
         for stored_job in stored.jobs:
             job = LiveJob(
--- a/coltsfoottray/scheduler/fleet.py
+++ b/coltsfoottray/scheduler/fleet.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from coltsfoottray.agent.pressure import SERVICE_USE, ServiceMargin
+from coltsfoottray.agent.pressure import SERVICE_USAGE, ServiceMargin
 from coltsfoottray.jobs.model import RunRef
 from coltsfoottray.scheduler.health import WorkerHealth
 from coltsfoottray.scheduler.lengths import Progress
@@ -250,7 +250,7 @@
     spec = placed.step.spec
     requested = spec.demand.processors
     if spec.target_latency_ms:
-        return requested * SERVICE_USE
+        return requested * SERVICE_USAGE
     if spec.is_filler and placed.figure > 0:
         return min(requested, placed.figure / _MILLI + requested * _FILLER_HEADROOM)
     return requested
--- a/coltsfoottray/scheduler/lengths.py
+++ b/coltsfoottray/scheduler/lengths.py
@@ -20,7 +20,7 @@
 # Progress over less than this predicts the length of a whole task poorly.
 _MIN_PREDICTIVE_PERCENT = 25.0
 _MILLI = 1000.0
-_WHOLE = 100.0
+_FULL_PERCENT = 100.0
 _MIN_MS = 1.0
 
 
@@ -68,7 +68,7 @@
             return (now - self._updated_at).total_seconds() * _MILLI
         self._time_at_full_speed += (now - self._updated_at) * speed
         self._updated_at = now
-        return self._length(_WHOLE)
+        return self._length(_FULL_PERCENT)
 
     def _length(self, percent: float) -> float | None:
         if self._first_percent is None:
@@ -76,7 +76,7 @@
         done = percent - self._first_percent
         if done < _MIN_PREDICTIVE_PERCENT:
             return None
-        return self._time_at_full_speed.total_seconds() * _MILLI * _WHOLE / done
+        return self._time_at_full_speed.total_seconds() * _MILLI * _FULL_PERCENT / done
 
 
 @dataclass
@@ -123,7 +123,9 @@
         self._sums_by_queue: dict[str, _Sums] = {}
         self.revision = 0
 
-    def note(self, queue: str, *, declared_ms: float, seen_ms: float) -> None:
+    def add_observation(
+        self, queue: str, *, declared_ms: float, seen_ms: float
+    ) -> None:
         """Add the observed length of the tasks of one step."""
         sums = self._sums_by_queue.setdefault(queue, _Sums())
         sums.add(_log(declared_ms), _log(seen_ms))
--- a/coltsfoottray/scheduler/live.py
+++ b/coltsfoottray/scheduler/live.py
@@ -266,7 +266,7 @@
 
     def _report_length(self, step: int, seen_ms: float) -> None:
         declared_ms = self.accepted.spec.steps[step].estimate_ms
-        self._lengths.note(
+        self._lengths.add_observation(
             self.accepted.queue, declared_ms=declared_ms, seen_ms=seen_ms
         )
 
--- a/coltsfoottray/scheduler/writer.py
+++ b/coltsfoottray/scheduler/writer.py
@@ -89,7 +89,7 @@
         self._pressures_version = 0
         self._pressures: list[Pressure] = []
 
-    def adopt_pressures(self, version: int, pressures: list[Pressure]) -> None:
+    def restore_pressures(self, version: int, pressures: list[Pressure]) -> None:
         """Continue from the pressures row that an earlier scheduler wrote."""
         self._pressures_version = version
         self._pressures = pressures
