--- a/tests/explain/losses.feature
+++ b/tests/explain/losses.feature
@@ -1,18 +1,18 @@
 Feature: Logs alone tell where jobs' time went
 
   Scenario: A job waits for room
-    # It is handed in while the only worker is full.
+    # The job is submitted while the only worker is full.
     Given two entries and 1 workers for jobs, whose lines are kept
-    When the job "a" of 1 steps with 8 tasks of 5 s is handed in at entry-1
+    When the job "a" of 1 steps with 8 tasks of 5 s is submitted at entry-1
     And 1 s pass
-    And the job "b" of 1 steps with 1 tasks of 1 s is handed in at entry-1
+    And the job "b" of 1 steps with 1 tasks of 1 s is submitted at entry-1
     Then the job "b" is "completed" within 10 s
     And by the lines the job "b" lost 3 to 5 s to "room", and ran 1 s
     And the parts of every job add up to its time
 
   Scenario: Nobody schedules for a while
     Given two entries and 1 workers for jobs, whose lines are kept
-    When the scheduler dies just before the job "a" of 1 task of 1 s is handed in
+    When the scheduler dies just before the job "a" of 1 task of 1 s is submitted
     Then the job "a" is "completed" within 10 s
     And by the lines the job "a" lost 1 to 3 s to "scheduler", and ran 1 s
     And the parts of every job add up to its time
--- a/tests/jobs/callers.feature
+++ b/tests/jobs/callers.feature
@@ -3,7 +3,7 @@
   Scenario: A job is cancelled while it runs
     # Guards against tasks that keep running after their job was cancelled at any entry.
     Given two entries and 2 workers for jobs
-    When the job "a" of 1 steps with 4 tasks of 60 s is handed in at entry-1
+    When the job "a" of 1 steps with 4 tasks of 60 s is submitted at entry-1
     And 1 s pass
     And the job "a" is cancelled at entry-2 with status 200
     And 3 s pass
@@ -19,7 +19,7 @@
   Scenario: A job whose tasks fail
     # Guards against more attempts than the queue allows.
     Given two entries and 2 workers for jobs
-    When the failing job "a" of 1 steps with 1 tasks of 1 s is handed in at entry-1
+    When the failing job "a" of 1 steps with 1 tasks of 1 s is submitted at entry-1
     Then the job "a" is "failed" within 10 s
     And the task of "a" was started 2 times
 
@@ -28,7 +28,7 @@
     # store a job.
     Given two entries and 2 workers for jobs
     And 1 s pass
-    Then the job "a" handed in at entry-1 with 150 ms left is answered 200
+    Then the job "a" submitted at entry-1 with 150 ms left is answered 200
     And the job "a" is "completed" within 5 s
 
   Scenario: A queue is removed from the config
@@ -49,7 +49,7 @@
   Scenario: Tasks of a service are restarted however they end
     # Guards against a service that is not restarted after its worker crashed.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 2 tasks of 1 s is handed in at entry-1
+    When the lasting job "a" of 1 steps with 2 tasks of 1 s is submitted at entry-1
     And 2 s pass
     And worker-1's machine crashes
     And 3 s pass
@@ -59,9 +59,9 @@
   Scenario: A gang waits until there is room for all its tasks
     # Guards against starting only some of the tasks of a gang.
     Given two entries and 1 workers for jobs
-    When the job "a" of 1 steps with 7 tasks of 3 s is handed in at entry-1
+    When the job "a" of 1 steps with 7 tasks of 3 s is submitted at entry-1
     And 500 ms pass
-    And the gang "g" of 2 tasks of 1 s is handed in at entry-1
+    And the gang "g" of 2 tasks of 1 s is submitted at entry-1
     And 1 s pass
     Then no task of "g" was started
     And the job "g" is "completed" within 10 s
@@ -70,7 +70,7 @@
     # Guards against occurrences that start early, or only after an unrelated event.
     Given two entries and 1 workers for jobs
     And 1 s pass
-    When the job "a" is handed in at entry-1 to run 3 times, every 2 s
+    When the job "a" is submitted at entry-1 to run 3 times, every 2 s
     Then the job "a" is "completed" within 20 s
     And each occurrence of "a" began at its time
 
@@ -78,7 +78,7 @@
     # Guards against removing rows in an order that makes an old job look new after a
     # crash.
     Given two entries and 1 workers for jobs
-    When the job "a" of 1 steps with 1 tasks of 1 s is handed in at entry-1
+    When the job "a" of 1 steps with 1 tasks of 1 s is submitted at entry-1
     Then the job "a" is "completed" within 10 s
     When 45 s pass
     Then the state of the job "a" at entry-2 is "410"
--- a/tests/jobs/slow_links.feature
+++ b/tests/jobs/slow_links.feature
@@ -15,7 +15,7 @@
     Given two entries and 1 workers for jobs
     And the link of entry-2 has a bandwidth of 60 kB/s
     When entry-2 is cut off from everything
-    And 40 jobs of 4000 bytes are handed in at entry-1
+    And 40 jobs of 4000 bytes are submitted at entry-1
     And entry-2 is reachable again
     Then entry-2 is ready within 10 s, and knows all 40 jobs
 
@@ -23,7 +23,7 @@
     # Guards against a fixed timeout for a whole answer: the first read does not finish
     # within it and starts over.
     Given two entries and 1 workers for jobs
-    And 40 jobs of 4000 bytes are handed in at entry-1
+    And 40 jobs of 4000 bytes are submitted at entry-1
     And the link of entry-2 has a bandwidth of 10 kB/s
     When entry-2 is killed and started anew after 1 s
     Then entry-2 is ready within 30 s, and knows all 40 jobs
--- a/tests/scheduler/advice.feature
+++ b/tests/scheduler/advice.feature
@@ -4,7 +4,7 @@
     # Guards against a start without the ticket of the service that allows workers to run a step.
     Given two entries and 3 workers for jobs
     And the queue's policy allows only worker-2
-    When the job "a" of 4 tasks of 1 s that need tickets is handed in at entry-1
+    When the job "a" of 4 tasks of 1 s that need tickets is submitted at entry-1
     Then the job "a" is "completed" within 6 s
     And nothing was started on worker-1
     And nothing was started on worker-3
@@ -14,7 +14,7 @@
     # Guards against late starts that use the expired tickets of the first answer.
     Given two entries and 2 workers for jobs
     And the queue's policy allows only worker-1
-    When the job "a" of 20 tasks of 2 s that need tickets is handed in at entry-1
+    When the job "a" of 20 tasks of 2 s that need tickets is submitted at entry-1
     Then the job "a" is "completed" within 15 s
     And nothing was started on worker-2
     And no start was refused for lack of a ticket
--- a/tests/scheduler/ends.feature
+++ b/tests/scheduler/ends.feature
@@ -3,7 +3,7 @@
   Scenario: A run fails while its start is requested again, and a poll reply is lost
     # Guards against a failure that is not counted, which allows one attempt too many.
     Given two entries and 1 workers for jobs
-    When the failing job "a" of 1 steps with 1 tasks of 4 s is handed in at entry-1
+    When the failing job "a" of 1 steps with 1 tasks of 4 s is submitted at entry-1
     And 1 s pass
     And worker-1 is killed and started anew after 1 s
     And what runs on worker-1 ends right after its new attendant's first poll
@@ -15,7 +15,7 @@
   Scenario: A run completes while its start is requested again, and a poll reply is lost
     # Guards against a refused start recorded as a stop, so that a done task restarts.
     Given two entries and 1 workers for jobs
-    When the job "a" of 1 steps with 1 tasks of 4 s is handed in at entry-1
+    When the job "a" of 1 steps with 1 tasks of 4 s is submitted at entry-1
     And 1 s pass
     And worker-1 is killed and started anew after 1 s
     And what runs on worker-1 ends right after its new attendant's first poll
@@ -27,7 +27,7 @@
   Scenario: More runs end while the attendant is dead than one poll lists
     # Guards against ends beyond the 500 listed, mistaken for runs that never existed.
     Given two entries and 1 workers for jobs
-    When the job "a" of 520 small tasks of 4 s is handed in at entry-1
+    When the job "a" of 520 small tasks of 4 s is submitted at entry-1
     And 1 s pass
     And worker-1 is killed and started anew after 4 s
     Then the job "a" is "completed" within 15 s
@@ -37,7 +37,7 @@
   Scenario: More runs end than one poll lists, and none is acknowledged for a while
     # Guards against the same while the store is down, so that each poll repeats the ends.
     Given two entries and 1 workers for jobs
-    When the job "a" of 520 small tasks of 4 s is handed in at entry-1
+    When the job "a" of 520 small tasks of 4 s is submitted at entry-1
     And 1 s pass
     And worker-1 is killed and started anew after 4 s
     And the store is down from worker-1's next poll on
@@ -50,7 +50,7 @@
   Scenario: More runs end than one poll lists, and answers to starts are lost
     # Guards against the same when refusals are lost and runs are stopped first.
     Given two entries and 1 workers for jobs
-    When the job "a" of 520 small tasks of 4 s is handed in at entry-1
+    When the job "a" of 520 small tasks of 4 s is submitted at entry-1
     And 1 s pass
     And the answers to the next 520 starts at worker-1 are lost
     And worker-1 is killed and started anew after 4 s
@@ -64,7 +64,7 @@
   Scenario: A run completes on a worker that then refuses new starts
     # Guards against a refusal by an unhealthy worker that hides the end of a run.
     Given two entries and 2 workers for jobs
-    When the job "a" of 1 steps with 2 tasks of 4 s is handed in at entry-1
+    When the job "a" of 1 steps with 2 tasks of 4 s is submitted at entry-1
     And 1 s pass
     And worker-1 is killed and started anew after 1 s
     And what runs on worker-1 ends right after its new attendant's first poll
@@ -77,7 +77,7 @@
   Scenario: An attendant restarts while its worker drains
     # Guards against a start of a running task refused because the worker drains.
     Given two entries and 2 workers for jobs
-    When the job "a" of 1 steps with 4 tasks of 4 s is handed in at entry-1
+    When the job "a" of 1 steps with 4 tasks of 4 s is submitted at entry-1
     And 1 s pass
     And worker-1's machine drains
     And worker-1 is killed and started anew after 1 s
@@ -88,10 +88,10 @@
   Scenario: A start delayed in transit arrives after the next scheduler's start
     # Guards against a start fenced off by a newer session, mistaken for its task's end.
     Given two entries and 2 workers for jobs
-    When the job "b" of 1 steps with 2 tasks of 60 s is handed in at entry-1
+    When the job "b" of 1 steps with 2 tasks of 60 s is submitted at entry-1
     And 1 s pass
     And the next 1 starts at worker-1 are delayed in transit
-    And the job "a" of 1 steps with 2 tasks of 4 s is handed in at entry-1
+    And the job "a" of 1 steps with 2 tasks of 4 s is submitted at entry-1
     And 50 ms pass
     And the scheduler resigns, and worker-1 has a session with the next one
     And 60 ms pass
@@ -103,10 +103,10 @@
   Scenario: A start that is sent twice is refused because its session is over
     # Guards against a cancelled task that is not stopped in the next session.
     Given two entries and 2 workers for jobs
-    When the job "b" of 1 steps with 2 tasks of 60 s is handed in at entry-1
+    When the job "b" of 1 steps with 2 tasks of 60 s is submitted at entry-1
     And 1 s pass
     And the next 1 starts at worker-1 are carried out late
-    And the job "a" of 1 steps with 2 tasks of 60 s is handed in at entry-1
+    And the job "a" of 1 steps with 2 tasks of 60 s is submitted at entry-1
     And 750 ms pass
     And the next 1 starts at worker-1 are delayed in transit
     And 100 ms pass
@@ -124,7 +124,7 @@
     # Guards against a start that is sent again after its run was stored as done.
     Given two entries and 1 workers for jobs
     And the answers to the next 1 starts at worker-1 are lost
-    When the job "a" of 1 steps with 1 tasks of 0 s is handed in at entry-1
+    When the job "a" of 1 steps with 1 tasks of 0 s is submitted at entry-1
     And 500 ms pass
     And worker-1's machine crashes and sends no heartbeats
     And 2 s pass
@@ -136,7 +136,7 @@
   Scenario: A start is refused because its run has just ended
     # Guards against a refusal recorded in place of an end that no poll has shown yet.
     Given two entries and 1 workers for jobs
-    When the job "a" of 1 steps with 1 tasks of 3 s is handed in at entry-1
+    When the job "a" of 1 steps with 1 tasks of 3 s is submitted at entry-1
     And 1 s pass
     And worker-1 restarts just before its task ends, and one poll goes unanswered
     And 3 s pass
--- a/tests/scheduler/health.feature
+++ b/tests/scheduler/health.feature
@@ -4,7 +4,7 @@
     # Guards against a worker that reports itself healthy but costs each task there an attempt.
     Given two entries and 3 workers for jobs
     And worker-1's machine fails everything it starts
-    When 9 jobs of 1 task of 1 s are handed in, one a second
+    When 9 jobs of 1 task of 1 s are submitted, one a second
     Then all 9 jobs are completed within 10 s
     And at most 5 tasks were started on worker-1
     And no task ran twice at a time or after its end
@@ -13,7 +13,7 @@
     # Guards against tasks that neither fail nor end and are never restarted elsewhere.
     Given two entries and 3 workers for jobs
     And tasks on worker-1's machine stand still
-    When 6 jobs of 1 task of 1 s are handed in, one a second
+    When 6 jobs of 1 task of 1 s are submitted, one a second
     Then all 6 jobs are completed within 10 s
     And no task ran twice at a time or after its end
 
@@ -60,10 +60,10 @@
     # Guards against all waiting tasks being placed on a worker whose block has just ended.
     Given two entries and 2 workers for jobs
     And worker-1's machine fails everything it starts
-    When the job "a" of 1 steps with 8 tasks of 2 s is handed in at entry-1
-    And the job "b" of 1 steps with 8 tasks of 2 s is handed in at entry-1
-    And the job "c" of 1 steps with 8 tasks of 2 s is handed in at entry-1
-    And the job "d" of 1 steps with 8 tasks of 2 s is handed in at entry-1
+    When the job "a" of 1 steps with 8 tasks of 2 s is submitted at entry-1
+    And the job "b" of 1 steps with 8 tasks of 2 s is submitted at entry-1
+    And the job "c" of 1 steps with 8 tasks of 2 s is submitted at entry-1
+    And the job "d" of 1 steps with 8 tasks of 2 s is submitted at entry-1
     And 8 s pass
     Then at most 11 tasks were started on worker-1
 
@@ -79,7 +79,7 @@
   Scenario: A job that fails on every worker does not block the workers
     # Guards against healthy workers blocked because of a job that fails on every worker.
     Given two entries and 2 workers for jobs
-    When the failing job "a" of 1 steps with 8 tasks of 1 s is handed in at entry-1
+    When the failing job "a" of 1 steps with 8 tasks of 1 s is submitted at entry-1
     And 2 s pass
-    And the job "b" of 1 steps with 8 tasks of 1 s is handed in at entry-1
+    And the job "b" of 1 steps with 8 tasks of 1 s is submitted at entry-1
     Then the job "b" is "completed" within 3 s
--- a/tests/scheduler/one_run.feature
+++ b/tests/scheduler/one_run.feature
@@ -3,7 +3,7 @@
   Scenario: A job of two steps
     # Guards against a step started before the step it depends on, and duplicate starts.
     Given two entries and 2 workers for jobs
-    When the job "a" of 2 steps with 3 tasks of 1 s is handed in at entry-1
+    When the job "a" of 2 steps with 3 tasks of 1 s is submitted at entry-1
     Then the job "a" is "completed" within 10 s
     And 6 tasks were started, each once
     And no task ran twice at a time or after its end
@@ -11,7 +11,7 @@
   Scenario: The scheduler dies while tasks run
     # Guards against a new scheduler that restarts running tasks.
     Given two entries and 2 workers for jobs
-    When the job "a" of 2 steps with 3 tasks of 4 s is handed in at entry-1
+    When the job "a" of 2 steps with 3 tasks of 4 s is submitted at entry-1
     And 2 s pass
     And the scheduler is killed
     Then the job "a" is "completed" within 20 s
@@ -21,7 +21,7 @@
   Scenario: Every process loses power right after a job was accepted
     # Guards against losing a job of which only the acceptance is stored.
     Given two entries and 2 workers for jobs
-    When the job "a" of 1 steps with 2 tasks of 1 s is handed in at entry-1
+    When the job "a" of 1 steps with 2 tasks of 1 s is submitted at entry-1
     And every daemon is killed and started anew
     Then the job "a" is "completed" within 20 s
     And no task ran twice at a time or after its end
@@ -29,7 +29,7 @@
   Scenario: Every process loses power while tasks run
     # Guards against tasks started elsewhere while their workers still hold leases.
     Given two entries and 3 workers for jobs
-    When the job "a" of 1 steps with 4 tasks of 5 s is handed in at entry-1
+    When the job "a" of 1 steps with 4 tasks of 5 s is submitted at entry-1
     And 1 s pass
     And every daemon is killed and started anew
     Then the job "a" is "completed" within 20 s
@@ -39,7 +39,7 @@
   Scenario: The scheduler freezes and resumes
     # Guards against orders and writes of a scheduler that has been replaced.
     Given two entries and 2 workers for jobs
-    When the job "a" of 3 steps with 3 tasks of 2 s is handed in at entry-1
+    When the job "a" of 3 steps with 3 tasks of 2 s is submitted at entry-1
     And 1 s pass
     And the scheduler is frozen for 5 s
     Then the job "a" is "completed" within 30 s
@@ -48,7 +48,7 @@
   Scenario: An attendant dies and comes back within the lease
     # Guards against tasks restarted because a new attendant does not know them.
     Given two entries and 1 workers for jobs
-    When the job "a" of 1 steps with 3 tasks of 5 s is handed in at entry-1
+    When the job "a" of 1 steps with 3 tasks of 5 s is submitted at entry-1
     And 1 s pass
     And worker-1 is killed and started anew after 2 s
     Then the job "a" is "completed" within 20 s
@@ -58,7 +58,7 @@
   Scenario: A worker crashes and comes back empty
     # Guards against waiting for the lease of a life that is certain to have ended.
     Given two entries and 2 workers for jobs
-    When the job "a" of 1 steps with 4 tasks of 3 s is handed in at entry-1
+    When the job "a" of 1 steps with 4 tasks of 3 s is submitted at entry-1
     And 1 s pass
     And worker-1's machine crashes
     Then the job "a" is "completed" within 10 s
@@ -68,7 +68,7 @@
     # Guards against giving up runs with the old life that the new life has accepted.
     Given two entries and 2 workers for jobs
     When worker-1's machine crashes
-    And the job "a" of 1 steps with 6 tasks of 4 s is handed in at entry-1
+    And the job "a" of 1 steps with 6 tasks of 4 s is submitted at entry-1
     Then the job "a" is "completed" within 15 s
     And no task ran twice at a time or after its end
 
@@ -77,7 +77,7 @@
     Given two entries and 2 workers for jobs
     When 250 ms pass
     And worker-1's machine crashes and sends no heartbeats
-    And the job "a" of 1 steps with 6 tasks of 4 s is handed in at entry-1
+    And the job "a" of 1 steps with 6 tasks of 4 s is submitted at entry-1
     And 2 s pass
     And worker-1's machine sends heartbeats again
     Then the job "a" is "completed" within 15 s
@@ -88,7 +88,7 @@
     Given two entries and 2 workers for jobs
     And the next 3 starts at worker-1 are carried out late
     When 30 s pass
-    And the job "a" of 1 steps with 6 tasks of 30 s is handed in at entry-1
+    And the job "a" of 1 steps with 6 tasks of 30 s is submitted at entry-1
     And 200 ms pass
     And worker-1's machine crashes and sends no heartbeats
     And 20 s pass
@@ -98,11 +98,11 @@
   Scenario: A worker's new life ends a task before it has sent a heartbeat
     # Guards against an acknowledgement of the old life's ends applied to the new life.
     Given two entries and 1 workers for jobs
-    When the job "a" of 1 steps with 1 tasks of 1 s is handed in at entry-1
+    When the job "a" of 1 steps with 1 tasks of 1 s is submitted at entry-1
     And 2 s pass
     And 200 ms pass
     And worker-1's machine crashes and sends no heartbeats
-    And the job "b" of 1 steps with 1 tasks of 0 s is handed in at entry-1
+    And the job "b" of 1 steps with 1 tasks of 0 s is submitted at entry-1
     And 2 s pass
     And worker-1's machine sends heartbeats again
     Then the job "b" is "completed" within 10 s
@@ -111,7 +111,7 @@
   Scenario: A worker that the scheduler lists as silent comes back
     # Guards against a worker that is back but idle until the next renewal.
     Given two entries and 1 workers for jobs
-    When the job "a" of 1 steps with 1 tasks of 60 s is handed in at entry-1
+    When the job "a" of 1 steps with 1 tasks of 60 s is submitted at entry-1
     And 1 s pass
     And worker-1's machine crashes and sends no heartbeats
     And worker-1 is killed and started anew after 4 s
@@ -122,7 +122,7 @@
   Scenario: A worker that is listed as silent comes back while the other entry is dead
     # Guards against an attendant that leaves a scheduler whose lease is still pending.
     Given two entries and 1 workers for jobs
-    When the job "a" of 1 steps with 1 tasks of 60 s is handed in at entry-1
+    When the job "a" of 1 steps with 1 tasks of 60 s is submitted at entry-1
     And 1 s pass
     And worker-1's machine crashes and sends no heartbeats
     And worker-1 is killed and started anew after 4 s
@@ -134,7 +134,7 @@
   Scenario: A worker's new life sends a heartbeat and then answers no one
     # Guards against waiting forever for a new life to show its runs.
     Given two entries and 2 workers for jobs
-    When the job "a" of 1 steps with 4 tasks of 4 s is handed in at entry-1
+    When the job "a" of 1 steps with 4 tasks of 4 s is submitted at entry-1
     And 500 ms pass
     And worker-1's machine crashes and reports at once
     And worker-1's machine stops answering
@@ -145,7 +145,7 @@
     # Guards against giving up a start that the worker carries out late.
     Given two entries and 2 workers for jobs
     And the next 3 starts at worker-1 are carried out late
-    When the job "a" of 1 steps with 6 tasks of 4 s is handed in at entry-1
+    When the job "a" of 1 steps with 6 tasks of 4 s is submitted at entry-1
     And 200 ms pass
     And worker-1's machine drains and reports at once
     Then the job "a" is "completed" within 25 s
@@ -154,7 +154,7 @@
   Scenario: A worker crashes before the ends of its tasks are stored
     # Guards against losing tasks whose ends were listed but never stored.
     Given two entries and 2 workers for jobs
-    When the job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
+    When the job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 500 ms pass
     And the store is down from now on
     And 2 s pass
@@ -168,7 +168,7 @@
   Scenario: A worker that crashed is used again at once
     # Guards against a worker that is back but waits for its attendant's next report.
     Given two entries and 1 workers for jobs
-    When the job "a" of 1 steps with 1 tasks of 60 s is handed in at entry-1
+    When the job "a" of 1 steps with 1 tasks of 60 s is submitted at entry-1
     And 1 s pass
     And worker-1's machine crashes and reports at once
     And 400 ms pass
@@ -177,7 +177,7 @@
   Scenario: All machines lose power while tasks write checkpoints
     # Guards against losing checkpoints that were only known in memory.
     Given two entries and 1 workers for jobs
-    When the checkpointing job "a" of 1 steps with 2 tasks of 8 s is handed in at entry-1
+    When the checkpointing job "a" of 1 steps with 2 tasks of 8 s is submitted at entry-1
     And 6 s pass
     And worker-1's machine crashes
     And every daemon is killed and started anew
@@ -187,7 +187,7 @@
   Scenario: After a loss of power the workers are back before the entries
     # Guards against attendants that wait for an entry without power while another is up.
     Given two entries and 1 workers for jobs
-    When the job "a" of 1 steps with 1 tasks of 60 s is handed in at entry-1
+    When the job "a" of 1 steps with 1 tasks of 60 s is submitted at entry-1
     And 1 s pass
     And everything loses power and the entries come back 50 ms after worker-1
     And 500 ms pass
@@ -196,9 +196,9 @@
   Scenario: After a loss of power tasks are spread over all workers
     # Guards against placing all waiting tasks on the first worker to come back.
     Given two entries and 3 workers for jobs
-    When the job "a" of 1 steps with 6 tasks of 60 s is handed in at entry-1
+    When the job "a" of 1 steps with 6 tasks of 60 s is submitted at entry-1
     And 1 s pass
-    And the job "b" of 1 steps with 6 tasks of 60 s is handed in at entry-1
+    And the job "b" of 1 steps with 6 tasks of 60 s is submitted at entry-1
     And everything loses power and worker-1 comes back 60 ms before the other workers
     And 1 s pass
     Then 12 tasks run
@@ -207,7 +207,7 @@
   Scenario: A worker stops answering but keeps running
     # Guards against tasks started elsewhere before the silent worker's lease expires.
     Given two entries and 2 workers for jobs
-    When the job "a" of 1 steps with 4 tasks of 4 s is handed in at entry-1
+    When the job "a" of 1 steps with 4 tasks of 4 s is submitted at entry-1
     And 500 ms pass
     And worker-1's machine stops answering
     Then the job "a" is "completed" within 30 s
@@ -216,7 +216,7 @@
   Scenario: An attendant is cut off from everything while its worker keeps running
     # Guards against the same when no report on the worker arrives at all.
     Given two entries and 2 workers for jobs
-    When the job "a" of 1 steps with 4 tasks of 4 s is handed in at entry-1
+    When the job "a" of 1 steps with 4 tasks of 4 s is submitted at entry-1
     And 500 ms pass
     And worker-1 is cut off from the entries and the store for 15 s
     Then the job "a" is "completed" within 30 s
@@ -226,7 +226,7 @@
     # Guards against a late order that starts a run a second time.
     Given two entries and 1 workers for jobs
     And the next 2 starts at worker-1 are carried out late
-    When the job "a" of 2 steps with 2 tasks of 1 s is handed in at entry-1
+    When the job "a" of 2 steps with 2 tasks of 1 s is submitted at entry-1
     Then the job "a" is "completed" within 20 s
     And 4 tasks were started, each once
     And no task ran twice at a time or after its end
@@ -234,7 +234,7 @@
   Scenario: Starts are carried out and their answers are lost
     Given two entries and 1 workers for jobs
     And the answers to the next 3 starts at worker-1 are lost
-    When the job "a" of 1 steps with 3 tasks of 2 s is handed in at entry-1
+    When the job "a" of 1 steps with 3 tasks of 2 s is submitted at entry-1
     Then the job "a" is "completed" within 20 s
     And 3 tasks were started, each once
     And no task ran twice at a time or after its end
@@ -244,14 +244,14 @@
     Given two entries and 2 workers for jobs
     And worker-1's machine drains
     When 3 s pass
-    And the job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
+    And the job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     Then the job "a" is "completed" within 10 s
     And nothing was started on worker-1
 
   Scenario: More tasks than the workers can hold
     # Guards against starts beyond a worker's capacity.
     Given two entries and 2 workers for jobs
-    When the job "a" of 1 steps with 40 tasks of 1 s is handed in at entry-1
+    When the job "a" of 1 steps with 40 tasks of 1 s is submitted at entry-1
     Then the job "a" is "completed" within 20 s
     And no worker ever ran more than 8 tasks
     And no task ran twice at a time or after its end
@@ -259,7 +259,7 @@
   Scenario: A worker leaves together with its attendant
     # Guards against a service that waits for the lease of a worker that has left.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
+    When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
     And worker-1's machine drains
     And 2 s pass
@@ -269,7 +269,7 @@
   Scenario: A worker deregisters and leaves before its tasks have been moved
     # Guards against the same when its attendant keeps running.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
+    When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
     And worker-1's machine leaves without a notice
     And 3 s pass
@@ -279,7 +279,7 @@
   Scenario: The scheduler changes repeatedly while a worker is lost
     # Guards against each new scheduler waiting for a lost worker's lease from the start.
     Given two entries and 2 workers for jobs
-    When the job "a" of 1 steps with 4 tasks of 3 s is handed in at entry-1
+    When the job "a" of 1 steps with 4 tasks of 3 s is submitted at entry-1
     And 1 s pass
     And worker-1 and its machine are lost
     And the scheduler is replaced 4 times, every 5 s
--- a/tests/scheduler/starved.feature
+++ b/tests/scheduler/starved.feature
@@ -3,8 +3,8 @@
   Scenario: Jobs that no worker can run precede a job that any worker can run
     # Guards against steps that fit on no worker and use up the misses allowed in a round.
     Given two entries and 2 workers for jobs
-    When 70 lasting jobs that need the label "zz" are handed in at entry-1
-    And the job "b" of 1 steps with 1 tasks of 1 s is handed in at entry-1
+    When 70 lasting jobs that need the label "zz" are submitted at entry-1
+    And the job "b" of 1 steps with 1 tasks of 1 s is submitted at entry-1
     Then the job "b" is "completed" within 60 s
 
   Scenario: Jobs with one task too many precede a job that any worker can run
@@ -13,17 +13,17 @@
     When 200 lasting jobs of 3 tasks each run with anti-affinity
     And 3 s pass
     Then 400 tasks run
-    When the job "b" of 1 steps with 1 tasks of 1 s is handed in at entry-1
+    When the job "b" of 1 steps with 1 tasks of 1 s is submitted at entry-1
     Then the job "b" is "completed" within 4 s
 
   Scenario: Of two jobs behind jobs that no worker can run the urgent one starts first
     # Guards against fairness to steps not reached in a round that overrides urgency.
     Given two entries and 1 workers for jobs
-    When 70 lasting jobs that need the label "zz" are handed in at entry-1
-    And the job "a" of 1 steps with 8 tasks of 1 s is handed in at entry-1
+    When 70 lasting jobs that need the label "zz" are submitted at entry-1
+    And the job "a" of 1 steps with 8 tasks of 1 s is submitted at entry-1
     And 500 ms pass
-    And the job "slow" of 1 steps with 8 tasks of 9 s is handed in at entry-1
-    And the job "quick" of 1 steps with 8 tasks of 4 s is handed in at entry-1
+    And the job "slow" of 1 steps with 8 tasks of 9 s is submitted at entry-1
+    And the job "quick" of 1 steps with 8 tasks of 4 s is submitted at entry-1
     And 3 s pass
     Then a task of "quick" was started
     And no task of "slow" was started
@@ -36,10 +36,10 @@
     When 70 lasting jobs of 2 tasks each run with anti-affinity
     And 1 s pass
     Then 70 tasks run
-    When the job "a" of 1 steps with 7 tasks of 1 s is handed in at entry-1
+    When the job "a" of 1 steps with 7 tasks of 1 s is submitted at entry-1
     And 500 ms pass
-    And the job "slow" of 1 steps with 7 tasks of 9 s is handed in at entry-1
-    And the job "quick" of 1 steps with 7 tasks of 4 s is handed in at entry-1
+    And the job "slow" of 1 steps with 7 tasks of 9 s is submitted at entry-1
+    And the job "quick" of 1 steps with 7 tasks of 4 s is submitted at entry-1
     And 3 s pass
     Then a task of "quick" was started
     And no task of "slow" was started
@@ -49,8 +49,8 @@
   Scenario: More jobs wait than a round examines, and start in order
     # Guards against later jobs that start before earlier ones while all workers are full.
     Given two entries and 1 workers for jobs
-    When 70 lasting jobs that need the label "zz" are handed in at entry-1
-    And 200 jobs that take a whole worker for 300 ms are handed in
+    When 70 lasting jobs that need the label "zz" are submitted at entry-1
+    And 200 jobs that take a whole worker for 300 ms are submitted
     And 9 s pass
     Then 15 or more of them have started, in the order of submission
 
@@ -58,8 +58,8 @@
     # Guards against a step without candidates that takes all requests for advice.
     Given two entries and 2 workers for jobs
     And the queue's policy allows only worker-1
-    When the job "a" that needs a ticket and the label "zz" is handed in at entry-1
-    And the job "b" of 1 tasks of 1 s that need tickets is handed in at entry-1
+    When the job "a" that needs a ticket and the label "zz" is submitted at entry-1
+    And the job "b" of 1 tasks of 1 s that need tickets is submitted at entry-1
     Then the job "b" is "completed" within 60 s
 
   Scenario: The most urgent step is allowed on no worker
@@ -67,8 +67,8 @@
     Given two entries and 2 workers for jobs
     And the queue's policy allows only worker-1
     And the policy allows the job "a" on no worker
-    When the job "a" of 1 tasks of 1 s that need tickets is handed in at entry-1
-    And the job "b" of 1 tasks of 1 s that need tickets is handed in at entry-1
+    When the job "a" of 1 tasks of 1 s that need tickets is submitted at entry-1
+    And the job "b" of 1 tasks of 1 s that need tickets is submitted at entry-1
     Then the job "b" is "completed" within 4 s
     When the policy allows the job "a" like any other
     Then the job "a" is "completed" within 15 s
@@ -77,7 +77,7 @@
     # Guards against advice requested on the best thirty workers only, and never on the others.
     Given two entries and 40 workers for jobs
     And the queue's policy allows only worker-9
-    When the job "a" of 2 tasks of 1 s that need tickets is handed in at entry-1
+    When the job "a" of 2 tasks of 1 s that need tickets is submitted at entry-1
     Then the job "a" is "completed" within 5 s
     And no start was refused for lack of a ticket
 
@@ -88,7 +88,7 @@
     When 40 lasting jobs of 2 tasks each run with anti-affinity and tickets
     And 15 s pass
     Then 40 tasks run
-    When the job "b" of 1 tasks of 1 s that need tickets is handed in at entry-1
+    When the job "b" of 1 tasks of 1 s that need tickets is submitted at entry-1
     Then the job "b" is "completed" within 30 s
 
   Scenario: Of two jobs that need tickets advice is requested for the urgent one first
@@ -96,13 +96,13 @@
     Given two entries and 1 workers for jobs
     And the queue's policy allows only worker-1
     And the policy allows the job "p0" on no worker
-    When 70 lasting jobs that need the label "zz" are handed in at entry-1
+    When 70 lasting jobs that need the label "zz" are submitted at entry-1
     And 1 lasting jobs of 1 tasks each run with anti-affinity and tickets
-    And the job "f" of 8 tasks of 1 s that need tickets is handed in at entry-1
+    And the job "f" of 8 tasks of 1 s that need tickets is submitted at entry-1
     And 700 ms pass
-    And the job "slow" of 8 tasks of 9 s that need tickets is handed in at entry-1
+    And the job "slow" of 8 tasks of 9 s that need tickets is submitted at entry-1
     And 100 ms pass
-    And the job "quick" of 8 tasks of 4 s that need tickets is handed in at entry-1
+    And the job "quick" of 8 tasks of 4 s that need tickets is submitted at entry-1
     And 3 s pass
     Then a task of "quick" was started
     And no task of "slow" was started
@@ -113,6 +113,6 @@
     # Guards against steps that fit on no worker and use up the searches for candidates.
     Given two entries and 2 workers for jobs
     And the queue's policy allows only worker-1
-    When 500 lasting jobs that need the label "zz" are handed in at entry-1
-    And the job "b" of 1 tasks of 1 s that need tickets is handed in at entry-1
+    When 500 lasting jobs that need the label "zz" are submitted at entry-1
+    And the job "b" of 1 tasks of 1 s that need tickets is submitted at entry-1
     Then the job "b" is "completed" within 2 s
--- a/tests/scheduler/store.feature
+++ b/tests/scheduler/store.feature
@@ -3,7 +3,7 @@
   Scenario: The store is down while tasks run
     # Guards against tasks stopped by an outage shorter than their leases.
     Given two entries and 2 workers for jobs
-    When the job "a" of 1 steps with 4 tasks of 8 s is handed in at entry-1
+    When the job "a" of 1 steps with 4 tasks of 8 s is submitted at entry-1
     And 1 s pass
     And the store is down for 5 s
     Then the job "a" is "completed" within 20 s
@@ -15,15 +15,15 @@
     Given two entries and 2 workers for jobs
     And 1 s pass
     And the answers to the next 2 writes of the store are lost
-    When the job "a" of 2 steps with 3 tasks of 1 s is handed in at entry-1
+    When the job "a" of 2 steps with 3 tasks of 1 s is submitted at entry-1
     Then the job "a" is "completed" within 30 s
     And no task ran twice at a time or after its end
 
   Scenario: Writes are carried out seconds later
     # Guards against a late write that restores a state in which ended tasks wait.
     Given two entries and 2 workers for jobs
-    When the job "a" of 2 steps with 3 tasks of 1 s is handed in at entry-1
-    And the job "b" of 2 steps with 3 tasks of 1 s is handed in at entry-2
+    When the job "a" of 2 steps with 3 tasks of 1 s is submitted at entry-1
+    And the job "b" of 2 steps with 3 tasks of 1 s is submitted at entry-2
     And the next 3 writes of the store are carried out late
     Then the job "a" is "completed" within 30 s
     And the job "b" is "completed" within 30 s
@@ -64,17 +64,17 @@
     Given two entries and 2 workers for jobs
     And 1 s pass
     And the answers to the next 1 writes of the store are lost
-    When the job "a" of 1 steps with 2 tasks of 1 s is handed in at entry-1
-    And the job "a" of 1 steps with 2 tasks of 1 s is handed in at entry-2
+    When the job "a" of 1 steps with 2 tasks of 1 s is submitted at entry-1
+    And the job "a" of 1 steps with 2 tasks of 1 s is submitted at entry-2
     Then the job "a" is "completed" within 20 s
     And 2 tasks were started, each once
 
   Scenario: The store drops its history
     # Guards against missing jobs when changes can no longer be listed.
     Given two entries and 2 workers for jobs
-    When the job "a" of 1 steps with 2 tasks of 1 s is handed in at entry-1
+    When the job "a" of 1 steps with 2 tasks of 1 s is submitted at entry-1
     And the store's history is dropped
-    And the job "b" of 1 steps with 2 tasks of 1 s is handed in at entry-2
+    And the job "b" of 1 steps with 2 tasks of 1 s is submitted at entry-2
     Then the job "a" is "completed" within 20 s
     And the job "b" is "completed" within 20 s
 
@@ -83,7 +83,7 @@
     Given two entries and 2 workers for jobs
     And 1 s pass
     And the scheduler is cut off from the store
-    When the job "a" of 1 steps with 2 tasks of 1 s is handed in at the other entry
+    When the job "a" of 1 steps with 2 tasks of 1 s is submitted at the other entry
     Then the job "a" is "completed" within 20 s at the other entry
     And no task ran twice at a time or after its end
 
@@ -93,20 +93,20 @@
     And 12 s pass
     And the scheduler is cut off from the store
     When 3 s pass
-    And the job "a" of 1 steps with 2 tasks of 1 s is handed in at that entry
+    And the job "a" of 1 steps with 2 tasks of 1 s is submitted at that entry
     Then the job "a" is "completed" within 5 s at the other entry
 
   Scenario: Entries receive no more data of a large job than of a small one
     # Guards against entries on slow links that receive every task change and fall behind.
     Given two entries and 3 workers for jobs
-    When the job "a" of 3 steps with 8 tasks of 1 s is handed in at entry-1
+    When the job "a" of 3 steps with 8 tasks of 1 s is submitted at entry-1
     Then the job "a" is "completed" within 20 s
     And the summary of the job "a" was written at most 2 times, 100 bytes at most
 
   Scenario: A busy scheduler is not replaced
     # Guards against mistaking a busy scheduler for one that is cut off.
     Given two entries and 2 workers for jobs
-    When 60 jobs of 1 task are handed in over 12 s
+    When 60 jobs of 1 task are submitted over 12 s
     Then the scheduler has not changed
 
   Scenario: The store fails just as a new scheduler reads the members
@@ -115,7 +115,7 @@
     When the scheduler freezes
     And the next 2 reads of the members fail
     And another entry has taken over
-    And the job "a" of 1 steps with 1 tasks of 60 s is handed in at the new scheduler
+    And the job "a" of 1 steps with 1 tasks of 60 s is submitted at the new scheduler
     And 400 ms pass
     Then 1 tasks run
 
--- a/tests/steps/job_placement_steps.py
+++ b/tests/steps/job_placement_steps.py
@@ -43,7 +43,7 @@
 
 @when(
     'the job "{label}" of {tasks:d} tasks of {seconds:d} s that need tickets '
-    "is handed in at {entry}"
+    "is submitted at {entry}"
 )
 def submit_with_tickets(context, label, tasks, seconds, entry):
     shape = make_steps(1, tasks, seconds)
@@ -59,7 +59,7 @@
     assert not sum(worker.refused_tickets for worker in workers)
 
 
-@when("a service of {tasks:d} tasks {state} its latency target is handed in at {entry}")
+@when("a service of {tasks:d} tasks {state} its latency target is submitted at {entry}")
 def submit_service(context, tasks, state, entry):
     shape = make_steps(
         1, tasks, 1, longRunning=True, image="svc", targetMs=_TARGET_MS, antiAffinity=1
@@ -73,7 +73,7 @@
 
 @when(
     'the filler job "{label}" of {tasks:d} tasks of {seconds:d} s '
-    "is handed in at {entry}"
+    "is submitted at {entry}"
 )
 def submit_filler(context, label, tasks, seconds, entry):
     shape = make_steps(1, tasks, seconds, fills=True, image="fill")
@@ -101,7 +101,7 @@
         assert status == 200, status
 
 
-@when("{count:d} jobs that take a whole worker for {milliseconds:d} ms are handed in")
+@when("{count:d} jobs that take a whole worker for {milliseconds:d} ms are submitted")
 def submit_whole_worker_jobs(context, count, milliseconds):
     shape = make_steps(1, 1, 60, cpu=8000)
     context.whole_worker_labels = [f"w{number}" for number in range(count)]
--- a/tests/steps/job_steps.py
+++ b/tests/steps/job_steps.py
@@ -23,7 +23,7 @@
 
 @step(
     'the job "{label}" of {steps:d} steps with {tasks:d} tasks of {seconds:d} s '
-    "is handed in at {entry}"
+    "is submitted at {entry}"
 )
 def submit(context, label, steps, tasks, seconds, entry):
     if entry == "the other entry":
@@ -39,7 +39,7 @@
 
 @when(
     'the job "{label}" of {tasks:d} small tasks of {seconds:d} s '
-    "is handed in at {entry}"
+    "is submitted at {entry}"
 )
 def submit_small(context, label, tasks, seconds, entry):
     shape = make_steps(1, tasks, seconds, cpu=10)
@@ -49,7 +49,7 @@
 
 @when(
     'the failing job "{label}" of {steps:d} steps with {tasks:d} tasks of '
-    "{seconds:d} s is handed in at {entry}"
+    "{seconds:d} s is submitted at {entry}"
 )
 def submit_failing(context, label, steps, tasks, seconds, entry):
     shape = make_steps(steps, tasks, seconds)
@@ -59,7 +59,7 @@
 
 @when(
     'the checkpointing job "{label}" of {steps:d} steps with {tasks:d} tasks of '
-    "{seconds:d} s is handed in at {entry}"
+    "{seconds:d} s is submitted at {entry}"
 )
 def submit_checkpointing(context, label, steps, tasks, seconds, entry):
     shape = make_steps(steps, tasks, seconds, checkpointing=True)
@@ -69,7 +69,7 @@
 
 @when(
     'the lasting job "{label}" of {steps:d} steps with {tasks:d} tasks of '
-    "{seconds:d} s is handed in at {entry}"
+    "{seconds:d} s is submitted at {entry}"
 )
 def submit_lasting(context, label, steps, tasks, seconds, entry):
     shape = make_steps(steps, tasks, seconds, longRunning=True)
@@ -77,7 +77,7 @@
     assert status == 200, status
 
 
-@when('the gang "{label}" of {tasks:d} tasks of {seconds:d} s is handed in at {entry}')
+@when('the gang "{label}" of {tasks:d} tasks of {seconds:d} s is submitted at {entry}')
 def submit_gang(context, label, tasks, seconds, entry):
     shape = make_steps(1, tasks, seconds, gang=True)
     status = context.world.submit_job(entry, label, shape, work_s=seconds)
@@ -85,7 +85,7 @@
 
 
 @when(
-    'the job "{label}" is handed in at {entry} to run {times:d} times, '
+    'the job "{label}" is submitted at {entry} to run {times:d} times, '
     "every {seconds:d} s"
 )
 def submit_repeated(context, label, entry, times, seconds):
@@ -140,14 +140,14 @@
     context.world.advance(milliseconds / 1000)
 
 
-@when("{count:d} jobs of {tasks:d} task of {seconds:d} s are handed in, one a second")
+@when("{count:d} jobs of {tasks:d} task of {seconds:d} s are submitted, one a second")
 def submit_series(context, count, tasks, seconds):
     for number in range(count):
         submit(context, f"s{number}", 1, tasks, seconds, "entry-1")
         context.world.advance(1)
 
 
-@when("{count:d} jobs of 1 task are handed in over {seconds:d} s")
+@when("{count:d} jobs of 1 task are submitted over {seconds:d} s")
 def submit_stream(context, count, seconds):
     context.scheduler = context.world.cell.scheduler()
     for number in range(count):
@@ -267,7 +267,7 @@
 
 
 @then(
-    'the job "{label}" handed in at {entry} with {milliseconds:d} ms left '
+    'the job "{label}" submitted at {entry} with {milliseconds:d} ms left '
     "is answered {status:d}"
 )
 def check_late_answer(context, label, entry, milliseconds, status):
--- a/tests/steps/length_steps.py
+++ b/tests/steps/length_steps.py
@@ -31,7 +31,7 @@
 
 @step(
     'a job "{label}" of {seconds:d} s on a whole worker that declares '
-    "{declared:d} ms is handed in"
+    "{declared:d} ms is submitted"
 )
 def submit_misdeclared(context, label, seconds, declared):
     _submit(context, label, seconds, declared)
--- a/tests/steps/losses_steps.py
+++ b/tests/steps/losses_steps.py
@@ -32,7 +32,7 @@
     context.closers.append(lambda: eliot.remove_destination(keep))
 
 
-@when('the scheduler dies just before the job "{label}" of 1 task of 1 s is handed in')
+@when('the scheduler dies just before the job "{label}" of 1 task of 1 s is submitted')
 def lose_scheduler(context, label):
     cell = context.world.cell
     name = cell.scheduler()
--- a/tests/steps/lost_steps.py
+++ b/tests/steps/lost_steps.py
@@ -66,7 +66,7 @@
     )
 
 
-@when('{count:d} lasting jobs that need the label "{label}" are handed in at {entry}')
+@when('{count:d} lasting jobs that need the label "{label}" are submitted at {entry}')
 def submit_labelled(context, count, label, entry):
     for number in range(count):
         shape = make_steps(1, 1, 1, requirements=label, longRunning=True)
@@ -75,7 +75,7 @@
 
 
 @when(
-    'the job "{name}" that needs a ticket and the label "{label}" is handed in '
+    'the job "{name}" that needs a ticket and the label "{label}" is submitted '
     "at {entry}"
 )
 def submit_labelled_ticket(context, name, label, entry):
--- a/tests/steps/packing_steps.py
+++ b/tests/steps/packing_steps.py
@@ -12,7 +12,7 @@
 
 @when(
     'the service "{label}" of image "{image}" that reserves {cpu:d} of 8000 '
-    "millicores is handed in"
+    "millicores is submitted"
 )
 def submit_service(context, label, image, cpu):
     shape = make_steps(
@@ -26,7 +26,7 @@
 
 @when(
     'the filler job "{label}" of image "{image}" with {tasks:d} tasks of '
-    "{seconds:d} s is handed in"
+    "{seconds:d} s is submitted"
 )
 def submit_filler(context, label, image, tasks, seconds):
     shape = make_steps(1, tasks, seconds, fills=True, image=image, cpu=2000)
--- a/tests/steps/slow_link_steps.py
+++ b/tests/steps/slow_link_steps.py
@@ -53,7 +53,7 @@
     fabric.cut -= {ends for ends in fabric.cut if name in ends}
 
 
-@step("{count:d} jobs of {size:d} bytes are handed in at {entry}")
+@step("{count:d} jobs of {size:d} bytes are submitted at {entry}")
 def submit_large(context, count, size, entry):
     for number in range(count):
         body = {
