--- a/tests/jobs/slow_links.feature
+++ b/tests/jobs/slow_links.feature
@@ -25,7 +25,7 @@
     Given two entries and 1 workers for jobs
     And 40 jobs of 4000 bytes are submitted at entry-1
     And the link of entry-2 has a bandwidth of 10 kB/s
-    When entry-2 is killed and started anew after 1 s
+    When entry-2 is killed and restarted after 1 s
     Then entry-2 is ready within 30 s, and knows all 40 jobs
 
   Scenario: A config arrives while an entry reads directly and through another entry
--- a/tests/scheduler/ends.feature
+++ b/tests/scheduler/ends.feature
@@ -5,7 +5,7 @@
     Given two entries and 1 workers for jobs
     When the failing job "a" of 1 steps with 1 tasks of 4 s is submitted at entry-1
     And 1 s pass
-    And worker-1 is killed and started anew after 1 s
+    And worker-1 is killed and restarted after 1 s
     And what runs on worker-1 ends right after its new attendant's first poll
     And the answer to worker-1's next poll is lost
     Then the job "a" is "failed" within 15 s
@@ -17,7 +17,7 @@
     Given two entries and 1 workers for jobs
     When the job "a" of 1 steps with 1 tasks of 4 s is submitted at entry-1
     And 1 s pass
-    And worker-1 is killed and started anew after 1 s
+    And worker-1 is killed and restarted after 1 s
     And what runs on worker-1 ends right after its new attendant's first poll
     And the answer to worker-1's next poll is lost
     Then the job "a" is "completed" within 15 s
@@ -29,7 +29,7 @@
     Given two entries and 1 workers for jobs
     When the job "a" of 520 small tasks of 4 s is submitted at entry-1
     And 1 s pass
-    And worker-1 is killed and started anew after 4 s
+    And worker-1 is killed and restarted after 4 s
     Then the job "a" is "completed" within 15 s
     And 520 tasks were started, each once
     And no task ran twice at a time or after its end
@@ -39,7 +39,7 @@
     Given two entries and 1 workers for jobs
     When the job "a" of 520 small tasks of 4 s is submitted at entry-1
     And 1 s pass
-    And worker-1 is killed and started anew after 4 s
+    And worker-1 is killed and restarted after 4 s
     And the store is down from worker-1's next poll on
     And 2 s pass
     And 1 s pass with the store up again
@@ -53,7 +53,7 @@
     When the job "a" of 520 small tasks of 4 s is submitted at entry-1
     And 1 s pass
     And the answers to the next 520 starts at worker-1 are lost
-    And worker-1 is killed and started anew after 4 s
+    And worker-1 is killed and restarted after 4 s
     And the store is down from worker-1's next poll on
     And 2 s pass
     And 1 s pass with the store up again
@@ -66,7 +66,7 @@
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 2 tasks of 4 s is submitted at entry-1
     And 1 s pass
-    And worker-1 is killed and started anew after 1 s
+    And worker-1 is killed and restarted after 1 s
     And what runs on worker-1 ends right after its new attendant's first poll
     And the answer to worker-1's next poll is lost
     And worker-1's machine is unhealthy for 500 ms
@@ -80,7 +80,7 @@
     When the job "a" of 1 steps with 4 tasks of 4 s is submitted at entry-1
     And 1 s pass
     And worker-1's machine drains
-    And worker-1 is killed and started anew after 1 s
+    And worker-1 is killed and restarted after 1 s
     Then the job "a" is "completed" within 15 s
     And 4 tasks were started, each once
     And no task ran twice at a time or after its end
--- a/tests/scheduler/fillers.feature
+++ b/tests/scheduler/fillers.feature
@@ -24,7 +24,7 @@
     And 4 s pass
     And the filler job "f" of 2 tasks of 30 s is submitted at entry-1
     And 8 s pass
-    And every daemon is killed and started anew
+    And every daemon is killed and restarted
     And 2 s pass
     Then the scheduler knows the pressure of "fill" on "svc"
 
--- a/tests/scheduler/gone.feature
+++ b/tests/scheduler/gone.feature
@@ -23,7 +23,7 @@
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
     And worker-1's machine is lost permanently
-    And worker-1 is killed and started anew after 1 s
+    And worker-1 is killed and restarted after 1 s
     And 7 s pass
     Then 4 tasks run
     And no task ran twice at a time or after its end
@@ -34,7 +34,7 @@
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
     And worker-1's machine is lost permanently
-    And every daemon is killed and started anew
+    And every daemon is killed and restarted
     And 7 s pass
     Then 4 tasks run
     And no task ran twice at a time or after its end
@@ -88,7 +88,7 @@
     And worker-1's machine stops answering
     And 2 s pass
     And messages sent to the scheduler for 1 s arrive late
-    And worker-1 is killed and started anew after 0 s
+    And worker-1 is killed and restarted after 0 s
     And worker-1's machine answers again
     And 2 s pass
     And worker-1 is cut off from the entries and the store for 7 s
--- a/tests/scheduler/lost.feature
+++ b/tests/scheduler/lost.feature
@@ -64,7 +64,7 @@
     And the lasting job "a" of 1 steps with 6 tasks of 1 s is submitted at entry-1
     And 100 ms pass
     And worker-1's machine stops answering
-    And worker-1 is killed and started anew after 0 s
+    And worker-1 is killed and restarted after 0 s
     And 20 s pass
     Then 6 tasks run
     And no task ran twice at a time or after its end
--- a/tests/scheduler/one_run.feature
+++ b/tests/scheduler/one_run.feature
@@ -22,7 +22,7 @@
     # Guards against losing a job of which only the acceptance is stored.
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 2 tasks of 1 s is submitted at entry-1
-    And every daemon is killed and started anew
+    And every daemon is killed and restarted
     Then the job "a" is "completed" within 20 s
     And no task ran twice at a time or after its end
 
@@ -31,7 +31,7 @@
     Given two entries and 3 workers for jobs
     When the job "a" of 1 steps with 4 tasks of 5 s is submitted at entry-1
     And 1 s pass
-    And every daemon is killed and started anew
+    And every daemon is killed and restarted
     Then the job "a" is "completed" within 20 s
     And 4 tasks were started, each once
     And no task ran twice at a time or after its end
@@ -50,7 +50,7 @@
     Given two entries and 1 workers for jobs
     When the job "a" of 1 steps with 3 tasks of 5 s is submitted at entry-1
     And 1 s pass
-    And worker-1 is killed and started anew after 2 s
+    And worker-1 is killed and restarted after 2 s
     Then the job "a" is "completed" within 20 s
     And 3 tasks were started, each once
     And no task ran twice at a time or after its end
@@ -114,7 +114,7 @@
     When the job "a" of 1 steps with 1 tasks of 60 s is submitted at entry-1
     And 1 s pass
     And worker-1's machine crashes and sends no heartbeats
-    And worker-1 is killed and started anew after 4 s
+    And worker-1 is killed and restarted after 4 s
     And worker-1's machine sends heartbeats again
     And 250 ms pass
     Then 1 tasks run
@@ -125,7 +125,7 @@
     When the job "a" of 1 steps with 1 tasks of 60 s is submitted at entry-1
     And 1 s pass
     And worker-1's machine crashes and sends no heartbeats
-    And worker-1 is killed and started anew after 4 s
+    And worker-1 is killed and restarted after 4 s
     And the other entry freezes
     And worker-1's machine sends heartbeats again
     And 250 ms pass
@@ -159,7 +159,7 @@
     And the store is down from now on
     And 2 s pass
     And worker-1's machine crashes
-    And every daemon is killed and started anew
+    And every daemon is killed and restarted
     And 2 s pass with the store up again
     Then the job "a" is "completed" within 15 s
     And no task ran twice at a time or after its end
@@ -180,7 +180,7 @@
     When the checkpointing job "a" of 1 steps with 2 tasks of 8 s is submitted at entry-1
     And 6 s pass
     And worker-1's machine crashes
-    And every daemon is killed and started anew
+    And every daemon is killed and restarted
     Then the job "a" is "completed" within 6 s
     And no task ran twice at a time or after its end
 
--- a/tests/steps/job_fault_steps.py
+++ b/tests/steps/job_fault_steps.py
@@ -39,7 +39,7 @@
     context.world.fabric.faults(other).pause()
 
 
-@when("every daemon is killed and started anew")
+@when("every daemon is killed and restarted")
 def restart_all(context):
     cell = context.world.cell
     names = list(cell.scope_by_name)
@@ -101,7 +101,7 @@
     world.run(world.cell.worker_by_name[name].send_heartbeat)
 
 
-@when("{name} is killed and started anew after {seconds:d} s")
+@when("{name} is killed and restarted after {seconds:d} s")
 def restart(context, name, seconds):
     context.world.kill_daemon(name)
     context.world.advance(seconds)
--- a/tests/steps/lost_steps.py
+++ b/tests/steps/lost_steps.py
@@ -12,7 +12,7 @@
 from tests.support.job_world import make_steps
 
 
-@when('the VM that runs "{task}" is lost and its attendant lives on')
+@when('the VM that runs "{task}" is lost and its attendant keeps running')
 def lose_vm_only(context, task):
     world = context.world
     name = f"{world.rows()[task].worker}/vm"
@@ -49,7 +49,7 @@
         context.world.kill(name)
 
 
-@when('both entries start anew, and do not reach the attendant beside "{task}"')
+@when('both entries restart, and do not reach the attendant beside "{task}"')
 def restart_entries_cut_off(context, task):
     world = context.world
     worker = world.rows()[task].worker
@@ -153,7 +153,7 @@
     context.world.cell.worker_by_name[name]._handle_start = never
 
 
-@when('the VM that runs "{task}" starts anew, empty, beside its attendant')
+@when('the VM that runs "{task}" restarts empty, and its attendant keeps running')
 def restart_vm_only(context, task):
     _restart_vm(_stand_in(context.world, task))
 
@@ -178,7 +178,7 @@
     world.wait_until(is_seen)
 
 
-@when("the VMs of {count:d} workers are lost and their attendants live on")
+@when("the VMs of {count:d} workers are lost and their attendants keep running")
 def lose_vms_only(context, count):
     for name in sorted(context.world.cell.worker_by_name)[:count]:
         context.world.kill(f"{name}/vm")
@@ -231,7 +231,7 @@
     world.run(world.cell.start_attendant, world.rows()[task].worker)
 
 
-@when("{name} refuses every renewal, and its attendant is started anew")
+@when("{name} refuses every renewal, and its attendant is restarted")
 def refuse_from_start(context, name):
     world = context.world
     worker = world.cell.worker_stand_in_by_name[name]
@@ -254,7 +254,7 @@
     assert holders[0] not in holders[later:], holders
 
 
-@when("{name} is cut off from the table, and its VM starts anew just after a renewal")
+@when("{name} is cut off from the table, and its VM restarts just after a renewal")
 def restart_vm_unwritten(context, name):
     world = context.world
     rows = world.cell.table.row_by_key
--- a/tests/tasks/lost.feature
+++ b/tests/tasks/lost.feature
@@ -5,7 +5,7 @@
     Given two entries and 2 workers in memory
     When "arolwg" submits the task "b1" which runs for 10 s
     And the task "b1" runs for 2000 ms
-    And the VM that runs "b1" is lost and its attendant lives on
+    And the VM that runs "b1" is lost and its attendant keeps running
     And the task "b1" is finished within 60 s
     Then no worker was ever overcommitted, and nothing ran twice
 
@@ -35,8 +35,8 @@
     And the task "b1" runs for 2000 ms
     And both entries are killed
     And 2500 ms pass
-    And the VM that runs "b1" is lost and its attendant lives on
-    And both entries start anew, and do not reach the attendant beside "b1"
+    And the VM that runs "b1" is lost and its attendant keeps running
+    And both entries restart, and do not reach the attendant beside "b1"
     Then every task is finished
     And "b1" was started 1 times
     And no worker was ever overcommitted, and nothing ran twice
@@ -46,7 +46,7 @@
     Given two entries and 2 workers in memory
     When "arolwg" submits the task "b1" which runs for 10 s
     And the task "b1" runs for 2000 ms
-    And the VM that runs "b1" starts anew, empty, beside its attendant
+    And the VM that runs "b1" restarts empty, and its attendant keeps running
     And the task "b1" is finished within 60 s
     Then no worker was ever overcommitted, and nothing ran twice
 
@@ -55,7 +55,7 @@
     Given two entries and 2 workers in memory
     When "arolwg" submits the task "b1" which runs for 10 s
     And the task "b1" runs for 1 ms
-    And the VM that runs "b1" starts anew, empty, beside its attendant
+    And the VM that runs "b1" restarts empty, and its attendant keeps running
     And the task "b1" is finished within 60 s
     Then no worker was ever overcommitted, and nothing ran twice
 
@@ -75,9 +75,9 @@
     And the task "b1" runs for 2000 ms
     And both entries are killed
     And the end of "b1" is seen by its attendant
-    And the VM that runs "b1" starts anew, empty, beside its attendant
+    And the VM that runs "b1" restarts empty, and its attendant keeps running
     And 5000 ms pass
-    And both entries start anew, and do not reach the attendant beside "b1"
+    And both entries restart, and do not reach the attendant beside "b1"
     Then every task is finished
     And "b1" was started 1 times
     And no worker was ever overcommitted, and nothing ran twice
@@ -85,7 +85,7 @@
   Scenario: Most VMs are lost, and their attendants keep running
     # Guards against a task whose proposals all go to attendants of lost VMs.
     Given two entries and 5 workers in memory
-    When the VMs of 4 workers are lost and their attendants live on
+    When the VMs of 4 workers are lost and their attendants keep running
     And 20000 ms pass
     And "arolwg" submits the task "b1" which runs for 1 s
     And the task "b1" is finished within 10 s
@@ -135,7 +135,7 @@
   Scenario: A worker refuses renewals from its attendant's start on
     # Guards against tasks accepted for a worker before it accepts its first renewal.
     Given two entries and 2 workers in memory
-    When worker-01 refuses every renewal, and its attendant is started anew
+    When worker-01 refuses every renewal, and its attendant is restarted
     And 1000 ms pass
     And "arolwg" submits the task "b1" which runs for 1 s
     And the task "b1" is finished within 3 s
@@ -144,7 +144,7 @@
   Scenario: No task is accepted in a term that no row grants yet
     # Guards against a task accepted in a term that was never written.
     Given two entries and 1 workers in memory
-    When worker-01 is cut off from the table, and its VM starts anew just after a renewal
+    When worker-01 is cut off from the table, and its VM restarts just after a renewal
     And 995 ms pass
     And "arolwg" submits the task "b1" which runs for 4 s
     And 300 ms pass
