--- a/tests/jobs/callers.feature
+++ b/tests/jobs/callers.feature
@@ -51,7 +51,7 @@
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 2 tasks of 1 s is submitted at entry-1
     And 2 s pass
-    And worker-1's machine crashes
+    And worker-1's VM crashes
     And 3 s pass
     Then 2 tasks run
     And the job "a" is cancelled at entry-1 with status 200
--- a/tests/scheduler/ends.feature
+++ b/tests/scheduler/ends.feature
@@ -69,7 +69,7 @@
     And worker-1 is killed and restarted after 1 s
     And what runs on worker-1 ends right after its new attendant's first poll
     And the answer to worker-1's next poll is lost
-    And worker-1's machine is unhealthy for 500 ms
+    And worker-1's VM is unhealthy for 500 ms
     Then the job "a" is "completed" within 15 s
     And 2 tasks were started, each once
     And no task ran twice at a time or after its end
@@ -79,7 +79,7 @@
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 4 tasks of 4 s is submitted at entry-1
     And 1 s pass
-    And worker-1's machine drains
+    And worker-1's VM drains
     And worker-1 is killed and restarted after 1 s
     Then the job "a" is "completed" within 15 s
     And 4 tasks were started, each once
@@ -126,9 +126,9 @@
     And the answers to the next 1 starts at worker-1 are lost
     When the job "a" of 1 steps with 1 tasks of 0 s is submitted at entry-1
     And 500 ms pass
-    And worker-1's machine crashes and sends no heartbeats
+    And worker-1's VM crashes and sends no heartbeats
     And 2 s pass
-    And worker-1's machine sends heartbeats again
+    And worker-1's VM sends heartbeats again
     Then the job "a" is "completed" within 10 s
     And no task ran twice at a time or after its end
     And 1 tasks were started in all
--- a/tests/scheduler/gone.feature
+++ b/tests/scheduler/gone.feature
@@ -8,7 +8,7 @@
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
-    And worker-1's machine is lost permanently
+    And worker-1's VM is lost permanently
     And 4 s pass
     And the store is down from now on
     And 4 s pass
@@ -22,7 +22,7 @@
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
-    And worker-1's machine is lost permanently
+    And worker-1's VM is lost permanently
     And worker-1 is killed and restarted after 1 s
     And 7 s pass
     Then 4 tasks run
@@ -33,7 +33,7 @@
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
-    And worker-1's machine is lost permanently
+    And worker-1's VM is lost permanently
     And every daemon is killed and restarted
     And 7 s pass
     Then 4 tasks run
@@ -44,7 +44,7 @@
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
-    And worker-1's machine is lost permanently
+    And worker-1's VM is lost permanently
     And the store is down from now on
     And 7 s pass
     And the scheduler is killed
@@ -57,10 +57,10 @@
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
-    And worker-1's machine stops answering
+    And worker-1's VM stops answering
     And 4 s pass
     And messages sent to the scheduler for 1 s arrive late
-    And worker-1's machine answers again
+    And worker-1's VM answers again
     And 3 s pass
     And worker-1 is cut off from the entries and the store for 5 s
     And 2 s pass
@@ -72,9 +72,9 @@
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
-    And worker-1's machine stops answering
+    And worker-1's VM stops answering
     And 3 s pass
-    And worker-1's machine answers again
+    And worker-1's VM answers again
     And worker-1 is cut off from the entries and the store for 6 s
     And 2 s pass
     Then 4 tasks run
@@ -85,11 +85,11 @@
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
-    And worker-1's machine stops answering
+    And worker-1's VM stops answering
     And 2 s pass
     And messages sent to the scheduler for 1 s arrive late
     And worker-1 is killed and restarted after 0 s
-    And worker-1's machine answers again
+    And worker-1's VM answers again
     And 2 s pass
     And worker-1 is cut off from the entries and the store for 7 s
     And 2 s pass
--- a/tests/scheduler/health.feature
+++ b/tests/scheduler/health.feature
@@ -3,7 +3,7 @@
   Scenario: A worker fails all its tasks
     # Guards against a worker that reports itself healthy but costs each task there an attempt.
     Given two entries and 3 workers for jobs
-    And worker-1's machine fails everything it starts
+    And worker-1's VM fails everything it starts
     When 9 jobs of 1 task of 1 s are submitted, one a second
     Then all 9 jobs are completed within 10 s
     And at most 5 tasks were started on worker-1
@@ -12,7 +12,7 @@
   Scenario: Tasks on a worker make no progress
     # Guards against tasks that neither fail nor end and are never restarted elsewhere.
     Given two entries and 3 workers for jobs
-    And tasks on worker-1's machine stand still
+    And tasks on worker-1's VM make no progress
     When 6 jobs of 1 task of 1 s are submitted, one a second
     Then all 6 jobs are completed within 10 s
     And no task ran twice at a time or after its end
@@ -59,7 +59,7 @@
   Scenario: A worker that may still be unhealthy is probed by one task at a time
     # Guards against all waiting tasks being placed on a worker whose block has just ended.
     Given two entries and 2 workers for jobs
-    And worker-1's machine fails everything it starts
+    And worker-1's VM fails everything it starts
     When the job "a" of 1 steps with 8 tasks of 2 s is submitted at entry-1
     And the job "b" of 1 steps with 8 tasks of 2 s is submitted at entry-1
     And the job "c" of 1 steps with 8 tasks of 2 s is submitted at entry-1
--- a/tests/scheduler/lost.feature
+++ b/tests/scheduler/lost.feature
@@ -5,13 +5,13 @@
     Given two entries and 2 workers for jobs
     When 10 s pass
     And 250 ms pass
-    And worker-1's machine crashes and sends no heartbeats
+    And worker-1's VM crashes and sends no heartbeats
     And the lasting job "a" of 1 steps with 6 tasks of 1 s is submitted at entry-1
     And 100 ms pass
-    And worker-1's machine sends heartbeats again
-    And worker-1's machine stops answering
+    And worker-1's VM sends heartbeats again
+    And worker-1's VM stops answering
     And 20 ms pass
-    And worker-1 and its machine are lost
+    And worker-1 and its VM are lost
     And 4 s pass
     And the scheduler is killed
     And 15 s pass
@@ -25,8 +25,8 @@
     When 10 s pass
     And the lasting job "a" of 1 steps with 6 tasks of 1 s is submitted at entry-1
     And 50 ms pass
-    And worker-1's machine crashes and reports at once
-    And worker-1's machine stops answering
+    And worker-1's VM crashes and reports at once
+    And worker-1's VM stops answering
     And 20 s pass
     Then 6 tasks run
     And no task ran twice at a time or after its end
@@ -47,10 +47,10 @@
     Given two entries and 2 workers for jobs
     When 10 s pass
     And 250 ms pass
-    And worker-1's machine crashes and sends no heartbeats
+    And worker-1's VM crashes and sends no heartbeats
     And the lasting job "a" of 1 steps with 6 tasks of 1 s is submitted at entry-1
     And 100 ms pass
-    And worker-1's machine stops answering
+    And worker-1's VM stops answering
     And 20 s pass
     Then 6 tasks run
     And no task ran twice at a time or after its end
@@ -60,10 +60,10 @@
     Given two entries and 2 workers for jobs
     When 10 s pass
     And 250 ms pass
-    And worker-1's machine crashes and sends no heartbeats
+    And worker-1's VM crashes and sends no heartbeats
     And the lasting job "a" of 1 steps with 6 tasks of 1 s is submitted at entry-1
     And 100 ms pass
-    And worker-1's machine stops answering
+    And worker-1's VM stops answering
     And worker-1 is killed and restarted after 0 s
     And 20 s pass
     Then 6 tasks run
@@ -74,16 +74,16 @@
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
-    And a late notice that worker-1's machine leaves arrives
-    And worker-1's machine stops answering
+    And a late notice that worker-1's VM leaves arrives
+    And worker-1's VM stops answering
     And 2 s pass
-    And worker-1's machine answers again
+    And worker-1's VM answers again
     And 2 s pass
     Then no task ran twice at a time or after its end
 
   Scenario: A worker that answers polls accepts no start
     # Guards against a start that is retried forever because it is never answered.
     Given two entries and 2 workers for jobs
-    And worker-1's machine answers polls but never accepts a start
+    And worker-1's VM answers polls but never accepts a start
     When the job "a" of 1 steps with 2 tasks of 1 s is submitted at entry-1
     Then the job "a" is "completed" within 60 s
--- a/tests/scheduler/one_run.feature
+++ b/tests/scheduler/one_run.feature
@@ -60,14 +60,14 @@
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 4 tasks of 3 s is submitted at entry-1
     And 1 s pass
-    And worker-1's machine crashes
+    And worker-1's VM crashes
     Then the job "a" is "completed" within 10 s
     And no task ran twice at a time or after its end
 
   Scenario: A worker crashes, and its new life accepts a start meant for the old one
     # Guards against giving up runs with the old life that the new life has accepted.
     Given two entries and 2 workers for jobs
-    When worker-1's machine crashes
+    When worker-1's VM crashes
     And the job "a" of 1 steps with 6 tasks of 4 s is submitted at entry-1
     Then the job "a" is "completed" within 15 s
     And no task ran twice at a time or after its end
@@ -76,10 +76,10 @@
     # Guards against the same when a poll is the first to show the new life.
     Given two entries and 2 workers for jobs
     When 250 ms pass
-    And worker-1's machine crashes and sends no heartbeats
+    And worker-1's VM crashes and sends no heartbeats
     And the job "a" of 1 steps with 6 tasks of 4 s is submitted at entry-1
     And 2 s pass
-    And worker-1's machine sends heartbeats again
+    And worker-1's VM sends heartbeats again
     Then the job "a" is "completed" within 15 s
     And no task ran twice at a time or after its end
 
@@ -90,7 +90,7 @@
     When 30 s pass
     And the job "a" of 1 steps with 6 tasks of 30 s is submitted at entry-1
     And 200 ms pass
-    And worker-1's machine crashes and sends no heartbeats
+    And worker-1's VM crashes and sends no heartbeats
     And 20 s pass
     Then no task ran twice at a time or after its end
     And the job "a" is "completed" within 60 s
@@ -101,10 +101,10 @@
     When the job "a" of 1 steps with 1 tasks of 1 s is submitted at entry-1
     And 2 s pass
     And 200 ms pass
-    And worker-1's machine crashes and sends no heartbeats
+    And worker-1's VM crashes and sends no heartbeats
     And the job "b" of 1 steps with 1 tasks of 0 s is submitted at entry-1
     And 2 s pass
-    And worker-1's machine sends heartbeats again
+    And worker-1's VM sends heartbeats again
     Then the job "b" is "completed" within 10 s
     And no task ran twice at a time or after its end
 
@@ -113,9 +113,9 @@
     Given two entries and 1 workers for jobs
     When the job "a" of 1 steps with 1 tasks of 60 s is submitted at entry-1
     And 1 s pass
-    And worker-1's machine crashes and sends no heartbeats
+    And worker-1's VM crashes and sends no heartbeats
     And worker-1 is killed and restarted after 4 s
-    And worker-1's machine sends heartbeats again
+    And worker-1's VM sends heartbeats again
     And 250 ms pass
     Then 1 tasks run
 
@@ -124,10 +124,10 @@
     Given two entries and 1 workers for jobs
     When the job "a" of 1 steps with 1 tasks of 60 s is submitted at entry-1
     And 1 s pass
-    And worker-1's machine crashes and sends no heartbeats
+    And worker-1's VM crashes and sends no heartbeats
     And worker-1 is killed and restarted after 4 s
     And the other entry freezes
-    And worker-1's machine sends heartbeats again
+    And worker-1's VM sends heartbeats again
     And 250 ms pass
     Then 1 tasks run
 
@@ -136,8 +136,8 @@
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 4 tasks of 4 s is submitted at entry-1
     And 500 ms pass
-    And worker-1's machine crashes and reports at once
-    And worker-1's machine stops answering
+    And worker-1's VM crashes and reports at once
+    And worker-1's VM stops answering
     Then the job "a" is "completed" within 25 s
     And no task ran twice at a time or after its end
 
@@ -147,7 +147,7 @@
     And the next 3 starts at worker-1 are carried out late
     When the job "a" of 1 steps with 6 tasks of 4 s is submitted at entry-1
     And 200 ms pass
-    And worker-1's machine drains and reports at once
+    And worker-1's VM drains and reports at once
     Then the job "a" is "completed" within 25 s
     And no task ran twice at a time or after its end
 
@@ -158,7 +158,7 @@
     And 500 ms pass
     And the store is down from now on
     And 2 s pass
-    And worker-1's machine crashes
+    And worker-1's VM crashes
     And every daemon is killed and restarted
     And 2 s pass with the store up again
     Then the job "a" is "completed" within 15 s
@@ -170,16 +170,16 @@
     Given two entries and 1 workers for jobs
     When the job "a" of 1 steps with 1 tasks of 60 s is submitted at entry-1
     And 1 s pass
-    And worker-1's machine crashes and reports at once
+    And worker-1's VM crashes and reports at once
     And 400 ms pass
     Then 1 tasks run
 
-  Scenario: All machines lose power while tasks write checkpoints
+  Scenario: All VMs lose power while tasks write checkpoints
     # Guards against losing checkpoints that were only known in memory.
     Given two entries and 1 workers for jobs
     When the checkpointing job "a" of 1 steps with 2 tasks of 8 s is submitted at entry-1
     And 6 s pass
-    And worker-1's machine crashes
+    And worker-1's VM crashes
     And every daemon is killed and restarted
     Then the job "a" is "completed" within 6 s
     And no task ran twice at a time or after its end
@@ -209,7 +209,7 @@
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 4 tasks of 4 s is submitted at entry-1
     And 500 ms pass
-    And worker-1's machine stops answering
+    And worker-1's VM stops answering
     Then the job "a" is "completed" within 30 s
     And no task ran twice at a time or after its end
 
@@ -242,7 +242,7 @@
   Scenario: A draining worker gets no new tasks
     # Guards against tasks placed on a worker that is about to leave.
     Given two entries and 2 workers for jobs
-    And worker-1's machine drains
+    And worker-1's VM drains
     When 3 s pass
     And the job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     Then the job "a" is "completed" within 10 s
@@ -261,7 +261,7 @@
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
-    And worker-1's machine drains
+    And worker-1's VM drains
     And 2 s pass
     Then 4 tasks run
     And nothing runs on worker-1
@@ -271,7 +271,7 @@
     Given two entries and 2 workers for jobs
     When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
-    And worker-1's machine leaves without a notice
+    And worker-1's VM leaves without a notice
     And 3 s pass
     Then 4 tasks run
     And no task ran twice at a time or after its end
@@ -281,7 +281,7 @@
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 4 tasks of 3 s is submitted at entry-1
     And 1 s pass
-    And worker-1 and its machine are lost
+    And worker-1 and its VM are lost
     And the scheduler is replaced 4 times, every 5 s
     Then the job "a" is "completed" within 2 s
     And no task ran twice at a time or after its end
--- a/tests/steps/job_fault_steps.py
+++ b/tests/steps/job_fault_steps.py
@@ -132,7 +132,7 @@
     context.world.cell.worker_by_name[name].finish_all()
 
 
-@when("{name}'s machine is unhealthy for {milliseconds:d} ms")
+@when("{name}'s VM is unhealthy for {milliseconds:d} ms")
 def make_unhealthy(context, name, milliseconds):
     worker = context.world.cell.worker_by_name[name]
     worker.is_unhealthy = True
@@ -156,50 +156,50 @@
     context.world.fabric.faults(f"{name}/vm").lost_replies = 1
 
 
-@when("{name}'s machine crashes")
+@when("{name}'s VM crashes")
 def crash(context, name):
     context.world.cell.worker_by_name[name].crash()
 
 
-@when("{name}'s machine crashes and sends no heartbeats")
+@when("{name}'s VM crashes and sends no heartbeats")
 def crash_without_heartbeats(context, name):
     worker = context.world.cell.worker_by_name[name]
     worker.sends_heartbeats = False
     worker.crash()
 
 
-@when("{name}'s machine sends heartbeats again")
+@when("{name}'s VM sends heartbeats again")
 def resume_heartbeats(context, name):
     worker = context.world.cell.worker_by_name[name]
     worker.sends_heartbeats = True
     context.world.run(worker.send_heartbeat)
 
 
-@when("{name}'s machine crashes and reports at once")
+@when("{name}'s VM crashes and reports at once")
 def crash_and_report(context, name):
     worker = context.world.cell.worker_by_name[name]
     worker.crash()
     context.world.run(worker.send_heartbeat)
 
 
-@when("{name}'s machine drains and reports at once")
+@when("{name}'s VM drains and reports at once")
 def drain_and_report(context, name):
     worker = context.world.cell.worker_by_name[name]
     worker.is_draining = True
     context.world.run(worker.send_heartbeat)
 
 
-@when("{name}'s machine is lost permanently")
+@when("{name}'s VM is lost permanently")
 def destroy(context, name):
     context.world.cell.worker_by_name[name].destroy()
 
 
-@when("{name}'s machine stops answering")
+@when("{name}'s VM stops answering")
 def stop_answering(context, name):
     context.world.cell.worker_by_name[name].is_unreachable = True
 
 
-@when("{name}'s machine answers again")
+@when("{name}'s VM answers again")
 def answer_again(context, name):
     context.world.cell.worker_by_name[name].is_unreachable = False
 
@@ -212,17 +212,17 @@
     faults.late_requests = 0
 
 
-@given("{name}'s machine fails everything it starts")
+@given("{name}'s VM fails everything it starts")
 def make_failing(context, name):
     context.world.cell.worker_by_name[name].fails_everything = True
 
 
-@given("tasks on {name}'s machine stand still")
+@given("tasks on {name}'s VM make no progress")
 def make_hung(context, name):
     context.world.cell.worker_by_name[name].is_hung = True
 
 
-@when("{name}'s machine leaves without a notice")
+@when("{name}'s VM leaves without a notice")
 def deregister(context, name):
     worker = context.world.cell.worker_by_name[name]
     context.world.run(worker.deregister)
@@ -230,7 +230,7 @@
     del context.world.fabric.listener_by_address[worker.address]
 
 
-@when("{name} and its machine are lost")
+@when("{name} and its VM are lost")
 def lose(context, name):
     context.world.cell.worker_by_name[name].is_unreachable = True
     context.world.kill_daemon(name)
@@ -245,7 +245,7 @@
         context.world.restart_daemon(name)
 
 
-@step("{name}'s machine drains")
+@step("{name}'s VM drains")
 def drain(context, name):
     context.world.cell.worker_by_name[name].is_draining = True
 
--- a/tests/steps/lost_steps.py
+++ b/tests/steps/lost_steps.py
@@ -130,7 +130,7 @@
     worker.sends_heartbeats = True
 
 
-@when("a late notice that {name}'s machine leaves arrives")
+@when("a late notice that {name}'s VM leaves arrives")
 def deregister_late(context, name):
     """Deliver a deregistration that an earlier life under the same id has sent."""
     world = context.world
@@ -145,7 +145,7 @@
     world.run(deregister)
 
 
-@given("{name}'s machine answers polls but never accepts a start")
+@given("{name}'s VM answers polls but never accepts a start")
 def lose_starts(context, name):
     async def never(body):
         await trio.sleep_forever()
