--- a/tests/jobs/callers.feature
+++ b/tests/jobs/callers.feature
@@ -49,7 +49,7 @@
   Scenario: Tasks of a service are restarted however they end
     # Guards against a service that is not restarted after its worker crashed.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 2 tasks of 1 s is submitted at entry-1
+    When the long-running job "a" of 1 steps with 2 tasks of 1 s is submitted at entry-1
     And 2 s pass
     And worker-1's VM crashes
     And 3 s pass
--- a/tests/scheduler/gone.feature
+++ b/tests/scheduler/gone.feature
@@ -6,7 +6,7 @@
   Scenario: A worker is lost, and the scheduler that was told is replaced
     # Guards against a lost worker's lease that its attendant's reports renew.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
+    When the long-running job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
     And worker-1's VM is lost permanently
     And 4 s pass
@@ -20,7 +20,7 @@
   Scenario: A worker is lost, and its attendant restarts
     # Guards against a lease granted to an attendant that cannot reach its worker.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
+    When the long-running job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
     And worker-1's VM is lost permanently
     And worker-1 is killed and restarted after 1 s
@@ -31,7 +31,7 @@
   Scenario: A worker is lost, and every process loses power
     # Guards against holding runs for a lease granted before the last attendant died.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
+    When the long-running job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
     And worker-1's VM is lost permanently
     And every daemon is killed and restarted
@@ -42,7 +42,7 @@
   Scenario: A worker is lost, and the store fails at the same time
     # Guards against an expired lease reported only once, to a scheduler then replaced.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
+    When the long-running job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
     And worker-1's VM is lost permanently
     And the store is down from now on
@@ -55,7 +55,7 @@
   Scenario: A report of an unresponsive worker arrives seconds late
     # Guards against an old report that shortens a lease granted after it was sent.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
+    When the long-running job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
     And worker-1's VM stops answering
     And 4 s pass
@@ -70,7 +70,7 @@
   Scenario: A worker answers again while its attendant is cut off
     # Guards against a worker that is sent a lease which the scheduler has shortened.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
+    When the long-running job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
     And worker-1's VM stops answering
     And 3 s pass
@@ -83,7 +83,7 @@
   Scenario: A report of an unresponsive worker arrives after its attendant has died
     # Guards against a dead attendant's report that shortens its successor's lease.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
+    When the long-running job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
     And worker-1's VM stops answering
     And 2 s pass
--- a/tests/scheduler/lost.feature
+++ b/tests/scheduler/lost.feature
@@ -6,7 +6,7 @@
     When 10 s pass
     And 250 ms pass
     And worker-1's VM crashes and sends no heartbeats
-    And the lasting job "a" of 1 steps with 6 tasks of 1 s is submitted at entry-1
+    And the long-running job "a" of 1 steps with 6 tasks of 1 s is submitted at entry-1
     And 100 ms pass
     And worker-1's VM sends heartbeats again
     And worker-1's VM stops answering
@@ -23,7 +23,7 @@
     Given two entries and 2 workers for jobs
     And the next 6 starts at worker-1 are carried out late
     When 10 s pass
-    And the lasting job "a" of 1 steps with 6 tasks of 1 s is submitted at entry-1
+    And the long-running job "a" of 1 steps with 6 tasks of 1 s is submitted at entry-1
     And 50 ms pass
     And worker-1's VM crashes and reports at once
     And worker-1's VM stops answering
@@ -34,7 +34,7 @@
   Scenario: The new scheduler cannot read the members
     # Guards against a scheduler that announces itself to no one after one failed read.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
+    When the long-running job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
     And the scheduler is cut off permanently from the store and the other entries
     And another scheduler has taken over, and cannot read the store for 3000 ms
@@ -48,7 +48,7 @@
     When 10 s pass
     And 250 ms pass
     And worker-1's VM crashes and sends no heartbeats
-    And the lasting job "a" of 1 steps with 6 tasks of 1 s is submitted at entry-1
+    And the long-running job "a" of 1 steps with 6 tasks of 1 s is submitted at entry-1
     And 100 ms pass
     And worker-1's VM stops answering
     And 20 s pass
@@ -61,7 +61,7 @@
     When 10 s pass
     And 250 ms pass
     And worker-1's VM crashes and sends no heartbeats
-    And the lasting job "a" of 1 steps with 6 tasks of 1 s is submitted at entry-1
+    And the long-running job "a" of 1 steps with 6 tasks of 1 s is submitted at entry-1
     And 100 ms pass
     And worker-1's VM stops answering
     And worker-1 is killed and restarted after 0 s
@@ -72,7 +72,7 @@
   Scenario: A late notice that a worker leaves arrives while it does not answer
     # Guards against an old notice and one unanswered poll mistaken for a worker's end.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
+    When the long-running job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
     And a late notice that worker-1's VM leaves arrives
     And worker-1's VM stops answering
--- a/tests/scheduler/one_run.feature
+++ b/tests/scheduler/one_run.feature
@@ -259,7 +259,7 @@
   Scenario: A worker leaves together with its attendant
     # Guards against a service that waits for the lease of a worker that has left.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
+    When the long-running job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
     And worker-1's VM drains
     And 2 s pass
@@ -269,7 +269,7 @@
   Scenario: A worker deregisters and leaves before its tasks have been moved
     # Guards against the same when its attendant keeps running.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
+    When the long-running job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
     And worker-1's VM leaves without a notice
     And 3 s pass
--- a/tests/scheduler/starved.feature
+++ b/tests/scheduler/starved.feature
@@ -3,14 +3,14 @@
   Scenario: Jobs that no worker can run precede a job that any worker can run
     # Guards against steps that fit on no worker and use up the misses allowed in a round.
     Given two entries and 2 workers for jobs
-    When 70 lasting jobs that need the label "zz" are submitted at entry-1
+    When 70 long-running jobs that need the label "zz" are submitted at entry-1
     And the job "b" of 1 steps with 1 tasks of 1 s is submitted at entry-1
     Then the job "b" is "completed" within 60 s
 
   Scenario: Jobs with one task too many precede a job that any worker can run
     # Guards against steps for which only examining each worker shows that they fit nowhere.
     Given two entries and 2 workers for jobs
-    When 200 lasting jobs of 3 tasks each run with anti-affinity
+    When 200 long-running jobs of 3 tasks each run with anti-affinity
     And 3 s pass
     Then 400 tasks run
     When the job "b" of 1 steps with 1 tasks of 1 s is submitted at entry-1
@@ -19,7 +19,7 @@
   Scenario: Of two jobs behind jobs that no worker can run the urgent one starts first
     # Guards against fairness to steps not reached in a round that overrides urgency.
     Given two entries and 1 workers for jobs
-    When 70 lasting jobs that need the label "zz" are submitted at entry-1
+    When 70 long-running jobs that need the label "zz" are submitted at entry-1
     And the job "a" of 1 steps with 8 tasks of 1 s is submitted at entry-1
     And 500 ms pass
     And the job "slow" of 1 steps with 8 tasks of 9 s is submitted at entry-1
@@ -33,7 +33,7 @@
   Scenario: Of two jobs that a round reaches last the urgent one starts first
     # Guards against fairness that overrides urgency behind more steps than a round examines.
     Given two entries and 1 workers for jobs
-    When 70 lasting jobs of 2 tasks each run with anti-affinity
+    When 70 long-running jobs of 2 tasks each run with anti-affinity
     And 1 s pass
     Then 70 tasks run
     When the job "a" of 1 steps with 7 tasks of 1 s is submitted at entry-1
@@ -49,7 +49,7 @@
   Scenario: More jobs wait than a round examines, and start in order
     # Guards against later jobs that start before earlier ones while all workers are full.
     Given two entries and 1 workers for jobs
-    When 70 lasting jobs that need the label "zz" are submitted at entry-1
+    When 70 long-running jobs that need the label "zz" are submitted at entry-1
     And 200 jobs that take a whole worker for 300 ms are submitted
     And 9 s pass
     Then 15 or more of them have started, in the order of submission
@@ -85,7 +85,7 @@
     # Guards against urgent steps whose tickets expire unused and that take all requests for advice.
     Given two entries and 2 workers for jobs
     And the queue's policy allows only worker-1
-    When 40 lasting jobs of 2 tasks each run with anti-affinity and tickets
+    When 40 long-running jobs of 2 tasks each run with anti-affinity and tickets
     And 15 s pass
     Then 40 tasks run
     When the job "b" of 1 tasks of 1 s that need tickets is submitted at entry-1
@@ -96,8 +96,8 @@
     Given two entries and 1 workers for jobs
     And the queue's policy allows only worker-1
     And the policy allows the job "p0" on no worker
-    When 70 lasting jobs that need the label "zz" are submitted at entry-1
-    And 1 lasting jobs of 1 tasks each run with anti-affinity and tickets
+    When 70 long-running jobs that need the label "zz" are submitted at entry-1
+    And 1 long-running jobs of 1 tasks each run with anti-affinity and tickets
     And the job "f" of 8 tasks of 1 s that need tickets is submitted at entry-1
     And 700 ms pass
     And the job "slow" of 8 tasks of 9 s that need tickets is submitted at entry-1
@@ -113,6 +113,6 @@
     # Guards against steps that fit on no worker and use up the searches for candidates.
     Given two entries and 2 workers for jobs
     And the queue's policy allows only worker-1
-    When 500 lasting jobs that need the label "zz" are submitted at entry-1
+    When 500 long-running jobs that need the label "zz" are submitted at entry-1
     And the job "b" of 1 tasks of 1 s that need tickets is submitted at entry-1
     Then the job "b" is "completed" within 2 s
--- a/tests/steps/job_placement_steps.py
+++ b/tests/steps/job_placement_steps.py
@@ -82,13 +82,14 @@
 
 
 @when(
-    "{count:d} lasting jobs of {tasks:d} tasks each run with anti-affinity and tickets"
+    "{count:d} long-running jobs of {tasks:d} tasks each run with anti-affinity "
+    "and tickets"
 )
 def submit_with_anti_affinity_and_tickets(context, count, tasks):
     submit_with_anti_affinity(context, count, tasks, needs_ticket=True)
 
 
-@when("{count:d} lasting jobs of {tasks:d} tasks each run with anti-affinity")
+@when("{count:d} long-running jobs of {tasks:d} tasks each run with anti-affinity")
 def submit_with_anti_affinity(context, count, tasks, **spec):
     """Submit small jobs of which each worker may run at most one task at a time."""
     shape = make_steps(
--- a/tests/steps/job_steps.py
+++ b/tests/steps/job_steps.py
@@ -68,10 +68,10 @@
 
 
 @when(
-    'the lasting job "{label}" of {steps:d} steps with {tasks:d} tasks of '
+    'the long-running job "{label}" of {steps:d} steps with {tasks:d} tasks of '
     "{seconds:d} s is submitted at {entry}"
 )
-def submit_lasting(context, label, steps, tasks, seconds, entry):
+def submit_long_running(context, label, steps, tasks, seconds, entry):
     shape = make_steps(steps, tasks, seconds, longRunning=True)
     status = context.world.submit_job(entry, label, shape, lasts=True)
     assert status == 200, status
--- a/tests/steps/lost_steps.py
+++ b/tests/steps/lost_steps.py
@@ -66,7 +66,10 @@
     )
 
 
-@when('{count:d} lasting jobs that need the label "{label}" are submitted at {entry}')
+@when(
+    '{count:d} long-running jobs that need the label "{label}" '
+    "are submitted at {entry}"
+)
 def submit_labelled(context, count, label, entry):
     for number in range(count):
         shape = make_steps(1, 1, 1, requirements=label, longRunning=True)
