--- a/tests/steps/lost_steps.py
+++ b/tests/steps/lost_steps.py
@@ -67,8 +67,7 @@
 
 
 @when(
-    '{count:d} long-running jobs that need the label "{label}" '
-    "are submitted at {entry}"
+    '{count:d} long-running jobs that need the label "{label}" are submitted at {entry}'
 )
 def submit_labelled(context, count, label, entry):
     for number in range(count):
@@ -206,7 +205,7 @@
     _serve_by(context.world, task, serve)
 
 
-@when('the VM that runs "{task}" takes the next renewal and does not say so')
+@when('the VM that runs "{task}" accepts the next renewal, and its answer is lost')
 def lose_renewal_answer(context, task):
     worker = _stand_in(context.world, task)
     handle = worker.handle
@@ -223,7 +222,7 @@
     _serve_by(context.world, task, serve)
 
 
-@when('a renewal of the VM that runs "{task}" is on its way')
+@when('a renewal of the VM that runs "{task}" is in transit')
 def wait_renewal(context, task):
     context.world.wait_until(lambda: context.renewals)
 
@@ -243,13 +242,13 @@
     world.run(world.cell.start_attendant, name)
 
 
-@then("no renewal was for no time")
+@then("every renewal had a positive duration")
 def check_durations(context):
     assert len(context.renewals) > 2, context.renewals
     assert all(float(r["seconds"]) > 0 for r in context.renewals), context.renewals
 
 
-@then("the first attendant renews nothing any more")
+@then("the first attendant sends no more renewals")
 def check_holders(context):
     holders = [renewal["holder"] for renewal in context.renewals]
     later = holders.index(next(h for h in holders if h != holders[0]))
--- a/tests/tasks/lost.feature
+++ b/tests/tasks/lost.feature
@@ -115,22 +115,22 @@
     Given two entries and 2 workers in memory
     When "arolwg" submits the task "b1" which runs for 10 s
     And the task "b1" runs for 2000 ms
-    And the VM that runs "b1" takes the next renewal and does not say so
+    And the VM that runs "b1" accepts the next renewal, and its answer is lost
     Then the task "b1" runs on for 6000 ms
     And the task "b1" is finished
     And "b1" was started 1 times
-    And no renewal was for no time
+    And every renewal had a positive duration
 
   Scenario: An attendant whose renewal is not answered has a successor
     # Guards against a renewal repeated by an attendant that has been replaced.
     Given two entries and 2 workers in memory
     When "arolwg" submits the task "b1" which runs for 10 s
     And the task "b1" runs for 2000 ms
-    And the VM that runs "b1" takes the next renewal and does not say so
-    And a renewal of the VM that runs "b1" is on its way
+    And the VM that runs "b1" accepts the next renewal, and its answer is lost
+    And a renewal of the VM that runs "b1" is in transit
     And a second attendant is started beside "b1"
     And 5000 ms pass
-    Then the first attendant renews nothing any more
+    Then the first attendant sends no more renewals
 
   Scenario: A worker refuses renewals from its attendant's start on
     # Guards against tasks accepted for a worker before it accepts its first renewal.
