--- a/tests/scheduler/gone.feature
+++ b/tests/scheduler/gone.feature
@@ -3,7 +3,7 @@
   # Users consider a long-running task lost if it has no run for 3 s although there is
   # room and nothing has failed for 4 s: 7 s after the last fault, all tasks must run.
 
-  Scenario: A worker is lost, and the scheduler that was told is replaced
+  Scenario: A worker is lost, and the scheduler that was notified is replaced
     # Guards against a lost worker's lease that its attendant's reports renew.
     Given two entries and 2 workers for jobs
     When the long-running job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
@@ -29,7 +29,7 @@
     And no task ran twice at a time or after its end
 
   Scenario: A worker is lost, and every process loses power
-    # Guards against holding runs for a lease granted before the last attendant died.
+    # Guards against holding runs for the lease granted to the previous attendant.
     Given two entries and 2 workers for jobs
     When the long-running job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
--- a/tests/scheduler/lost.feature
+++ b/tests/scheduler/lost.feature
@@ -1,7 +1,8 @@
 Feature: Runs held by a lost worker, some unknown to the scheduler
 
-  Scenario: A worker reports a new life and is lost, and the scheduler is replaced
-    # Guards against a next scheduler that knows the lease but not the new life's starts.
+  Scenario: A worker restarts and is lost, and the scheduler is replaced
+    # Guards against a next scheduler that knows the lease, but not the starts that the
+    # new incarnation has accepted.
     Given two entries and 2 workers for jobs
     When 10 s pass
     And 250 ms pass
@@ -18,8 +19,9 @@
     Then 6 tasks run
     And no task ran twice at a time or after its end
 
-  Scenario: A new life carries out a start seconds late and runs it for a whole lease
-    # Guards against a start that a new life runs unreported while it runs elsewhere.
+  Scenario: A new incarnation carries out a start seconds late
+    # Guards against a start that a new incarnation runs unreported, for a whole lease,
+    # while the task runs elsewhere.
     Given two entries and 2 workers for jobs
     And the next 6 starts at worker-1 are carried out late
     When 10 s pass
@@ -42,8 +44,9 @@
     Then 4 tasks run
     And 4 tasks were started, each once
 
-  Scenario: A new life accepts a start and is never reported
-    # Guards against a lease measured by the old life's clock for a run of the new one.
+  Scenario: A new incarnation accepts a start and is never reported
+    # Guards against a lease measured by the previous incarnation's clock for a run of
+    # the new one.
     Given two entries and 2 workers for jobs
     When 10 s pass
     And 250 ms pass
@@ -55,7 +58,7 @@
     Then 6 tasks run
     And no task ran twice at a time or after its end
 
-  Scenario: A new life accepts a start, and its attendant restarts without knowing it
+  Scenario: A new incarnation accepts a start that its restarted attendant does not know
     # Guards against the same when the attendant that knew of the start has died.
     Given two entries and 2 workers for jobs
     When 10 s pass
--- a/tests/scheduler/one_run.feature
+++ b/tests/scheduler/one_run.feature
@@ -56,7 +56,7 @@
     And no task ran twice at a time or after its end
 
   Scenario: A worker crashes and comes back empty
-    # Guards against waiting for the lease of a life that is certain to have ended.
+    # Guards against waiting for the lease of an incarnation that has certainly ended.
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 4 tasks of 3 s is submitted at entry-1
     And 1 s pass
@@ -64,16 +64,17 @@
     Then the job "a" is "completed" within 10 s
     And no task ran twice at a time or after its end
 
-  Scenario: A worker crashes, and its new life accepts a start meant for the old one
-    # Guards against giving up runs with the old life that the new life has accepted.
+  Scenario: A worker crashes, and its new incarnation accepts a start meant for the old one
+    # Guards against giving up runs with the previous incarnation that the new one has
+    # accepted.
     Given two entries and 2 workers for jobs
     When worker-1's VM crashes
     And the job "a" of 1 steps with 6 tasks of 4 s is submitted at entry-1
     Then the job "a" is "completed" within 15 s
     And no task ran twice at a time or after its end
 
-  Scenario: A worker's new life answers before it has sent a heartbeat
-    # Guards against the same when a poll is the first to show the new life.
+  Scenario: A worker's new incarnation answers before it has sent a heartbeat
+    # Guards against the same when a poll is the first to show the new incarnation.
     Given two entries and 2 workers for jobs
     When 250 ms pass
     And worker-1's VM crashes and sends no heartbeats
@@ -83,8 +84,9 @@
     Then the job "a" is "completed" within 15 s
     And no task ran twice at a time or after its end
 
-  Scenario: A worker's new life accepts a late start and is never reported
-    # Guards against a lease measured by the old life's clock for a start that came late.
+  Scenario: A worker's new incarnation accepts a late start and is never reported
+    # Guards against a lease measured by the previous incarnation's clock for a late
+    # start.
     Given two entries and 2 workers for jobs
     And the next 3 starts at worker-1 are carried out late
     When 30 s pass
@@ -95,8 +97,9 @@
     Then no task ran twice at a time or after its end
     And the job "a" is "completed" within 60 s
 
-  Scenario: A worker's new life ends a task before it has sent a heartbeat
-    # Guards against an acknowledgement of the old life's ends applied to the new life.
+  Scenario: A worker's new incarnation ends a task before it has sent a heartbeat
+    # Guards against an acknowledgement of the previous incarnation's ends that is
+    # applied to the new one.
     Given two entries and 1 workers for jobs
     When the job "a" of 1 steps with 1 tasks of 1 s is submitted at entry-1
     And 2 s pass
@@ -131,8 +134,8 @@
     And 250 ms pass
     Then 1 tasks run
 
-  Scenario: A worker's new life sends a heartbeat and then answers no one
-    # Guards against waiting forever for a new life to show its runs.
+  Scenario: A worker's new incarnation sends a heartbeat and then answers no one
+    # Guards against waiting forever for a new incarnation to list its runs.
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 4 tasks of 4 s is submitted at entry-1
     And 500 ms pass
@@ -185,7 +188,7 @@
     And no task ran twice at a time or after its end
 
   Scenario: After a loss of power the workers are back before the entries
-    # Guards against attendants that wait for an entry without power while another is up.
+    # Guards against attendants that wait for an entry without power while another runs.
     Given two entries and 1 workers for jobs
     When the job "a" of 1 steps with 1 tasks of 60 s is submitted at entry-1
     And 1 s pass
@@ -277,7 +280,7 @@
     And no task ran twice at a time or after its end
 
   Scenario: The scheduler changes repeatedly while a worker is lost
-    # Guards against each new scheduler waiting for a lost worker's lease from the start.
+    # Guards against schedulers that each wait for a lost worker's whole lease.
     Given two entries and 2 workers for jobs
     When the job "a" of 1 steps with 4 tasks of 3 s is submitted at entry-1
     And 1 s pass
--- a/tests/steps/lost_steps.py
+++ b/tests/steps/lost_steps.py
@@ -134,7 +134,7 @@
 
 @when("a late notice that {name}'s VM leaves arrives")
 def deregister_late(context, name):
-    """Deliver a deregistration that an earlier life under the same id has sent."""
+    """Deliver a deregistration sent by an earlier incarnation with the same id."""
     world = context.world
     worker = world.cell.worker_by_name[name]
     request = HttpRequest(method="POST", target=f"/v1/instances/i-{name}/deregister")
@@ -273,7 +273,7 @@
 
 
 def _restart_vm(worker):
-    """Clear the VM but not its lease, renewed before its new life is noticed."""
+    """Clear the VM but not its lease, renewed before its restart is noticed."""
     for attempt in worker._list_attempts():
         worker._suspend(attempt)
         worker._lose_result(attempt)
