--- a/coltsfoottray/agent/attendant.py
+++ b/coltsfoottray/agent/attendant.py
@@ -134,7 +134,7 @@
             log_event("worker:old-heartbeat", life=heartbeat.life, current=known.life)
             return
         log_event("worker:new-life", life=heartbeat.life, before=known and known.life)
-        self._begin_life(heartbeat)
+        self._begin_incarnation(heartbeat)
 
     def handle_deregistration(self, life_id: str) -> None:
         """Handle the announcement that the worker is about to end."""
@@ -144,7 +144,7 @@
             log_event("worker:leaves", life=self._heartbeat.life)
             self._liveness.record_deregistration(self._clock.elapsed())
 
-    def _begin_life(self, heartbeat: Heartbeat) -> None:
+    def _begin_incarnation(self, heartbeat: Heartbeat) -> None:
         self._heartbeat = heartbeat
         self._runs = Runs()
         self._polled_session = 0
@@ -200,8 +200,8 @@
     def _ack_cursor(self) -> int:
         """Return the number up to which the worker may discard ends, 0 for none.
 
-        A new incarnation with the same id numbers its ends anew. The cursor of the
-        previous one would make it discard its own first ends, and tasks that have
+        A new incarnation with the same id restarts the numbering of ends. The cursor of
+        the previous one would make it discard its own first ends, and tasks that have
         finished would run again. No poll that may be the first to reach a new
         incarnation acknowledges ends.
         """
--- a/coltsfoottray/scheduler/cluster_state.py
+++ b/coltsfoottray/scheduler/cluster_state.py
@@ -84,7 +84,7 @@
     def apply_report(self, report: Report, now: timedelta, now_ms: int) -> int:
         """Apply a report; return the number of the last end to acknowledge."""
         worker = self.fleet.worker_by_id[report.worker]
-        if not self._reconcile_life(worker, report, now, now_ms):
+        if not self._reconcile_incarnations(worker, report, now, now_ms):
             return 0
         self._update_description(worker, report)
         ended = [
@@ -141,11 +141,11 @@
             self._fence_lost_runs(worker, held, now_ms, why=why)
             worker.is_reachable = False
 
-    def _reconcile_life(
+    def _reconcile_incarnations(
         self, worker: Worker, report: Report, now: timedelta, now_ms: int
     ) -> bool:
         """Reconcile the runs of other incarnations; return False if that must wait."""
-        superseded = worker.held_by_other_lives(report.life)
+        superseded = worker.held_by_other_incarnations(report.life)
         if superseded and not self._has_listed_all_runs(worker, report, now):
             return False
         if report.is_replaced:
--- a/coltsfoottray/scheduler/fleet.py
+++ b/coltsfoottray/scheduler/fleet.py
@@ -200,7 +200,7 @@
             for placed in self.held_by_ref.values()
         )
 
-    def held_by_other_lives(self, life: str) -> list[PlacedRun]:
+    def held_by_other_incarnations(self, life: str) -> list[PlacedRun]:
         """Return the held runs that were meant for another incarnation than `life`."""
         if not life:
             return []
--- a/coltsfoottray/scheduler/grants.py
+++ b/coltsfoottray/scheduler/grants.py
@@ -184,10 +184,10 @@
         )
 
     def ensure_session(self, worker: Worker, report: Report) -> None:
-        """Grant a new session to each new attendant and each new life of its worker.
+        """Grant a new session to each new incarnation of an attendant or its worker.
 
         Once a worker has been polled in its new session, it rejects orders that were
-        meant for an earlier life.
+        meant for an earlier incarnation.
         """
         is_known = (
             worker.incarnation == report.incarnation
--- a/coltsfoottray/scheduler/live.py
+++ b/coltsfoottray/scheduler/live.py
@@ -32,7 +32,7 @@
 
 @dataclass(kw_only=True)
 class AdviceState:
-    """Requests for advice about a step, and refusals.
+    """State of the requests for advice about a step.
 
     Parameters
     ----------
@@ -40,7 +40,7 @@
         When advice about the step was last requested or its turn last came; before
         that, when the step became ready to start.
     refused_by_life : dict
-        For each life of a worker that may not run the step, when it was refused.
+        For each incarnation of a worker that may not run the step, when it was refused.
     """
 
     considered_at: timedelta | None = None
@@ -66,7 +66,7 @@
     avoid_by_index : dict
         For each task index, the workers on which the task failed or stalled.
     ticket_by_life : dict
-        For each life of a worker, the ticket that allows it to run the step.
+        For each incarnation of a worker, the ticket that allows it to run the step.
     last_tried_round : int
         The last round in which a worker was sought for the step, 0 for none.
     hindrance : Hindrance, optional
@@ -100,7 +100,7 @@
         self.done = sum(record.phase is TaskPhase.DONE for record in self.records)
 
     def valid_lives(self, now: timedelta) -> set[str]:
-        """Return the lives whose tickets are valid until a start can reach them."""
+        """Return the worker incarnations with tickets that outlast sending a start."""
         return {
             life
             for life, ticket in self.ticket_by_life.items()
--- a/coltsfoottray/scheduler/messages.py
+++ b/coltsfoottray/scheduler/messages.py
@@ -70,8 +70,8 @@
         The orders are void in any other session, since the scheduler may have given
         the runs up and started them elsewhere.
     life : str
-        The life of the worker that the orders are for. They are void in any other life
-        for the same reason.
+        The incarnation of the worker that the orders are for. They are void in any
+        other incarnation for the same reason.
     acknowledged : int
         Run ends up to this number are stored.
     """
@@ -103,10 +103,10 @@
         The last session granted, 0 for none. A session is the fencing token of the
         attendant's orders to the worker.
     looked : int
-        The session in which this life of the worker was last polled for its runs, 0
-        for none. Orders of earlier sessions no longer take effect on the worker.
+        The session in which this incarnation of the worker was last polled for its
+        runs, 0 for none. The worker no longer executes orders of earlier sessions.
     life : str
-        The worker's life, empty if unknown.
+        The worker's incarnation, empty if unknown.
     number : int
         Increases with each report of this attendant, so that reports that arrive out
         of order are detected.
@@ -117,8 +117,8 @@
     is_reachable : bool
         Whether the worker answered the last poll.
     is_replaced : bool
-        Whether a new life, which has sent no heartbeat yet, answers under the worker's
-        id.
+        Whether a new incarnation that has sent no heartbeat yet answers under the
+        worker's id.
     starting : list of RunRef
         Starts whose outcome is not known yet.
     stalled : list of RunRef
@@ -156,7 +156,7 @@
 
     @property
     def is_worker_alive(self) -> bool:
-        """Whether the worker's life is known and answers its attendant."""
+        """Whether the worker's incarnation is known and answers its attendant."""
         return self.is_reachable and bool(self.life)
 
 
--- a/coltsfoottray/scheduler/orders.py
+++ b/coltsfoottray/scheduler/orders.py
@@ -11,7 +11,7 @@
 def missing_orders(worker: Worker, report: Report) -> Orders:
     """Return the orders that the worker lacks according to a report.
 
-    A worker that reports another life than the known one gets no orders yet.
+    A worker that reports another incarnation than the known one gets no orders yet.
     """
     if report.life != worker.life:
         return Orders(session=worker.session, life=report.life)
