--- a/coltsfoottray/jobs/api.py
+++ b/coltsfoottray/jobs/api.py
@@ -67,7 +67,7 @@
 
     Parameters
     ----------
-    come_back : timedelta, optional
+    retry_after : timedelta, optional
         When to retry; only with `Verdict.NOT_DONE`.
     """
 
--- a/coltsfoottray/scheduler/live.py
+++ b/coltsfoottray/scheduler/live.py
@@ -69,7 +69,7 @@
         For each incarnation of a worker, the ticket that allows it to run the step.
     last_tried_round : int
         The last round in which a worker was sought for the step, 0 for none.
-    hindrance : Hindrance, optional
+    wait_reason : WaitReason, optional
         Why the step waits, as last logged.
     """
 
