--- a/coltsfoottray/agent/learning.py
+++ b/coltsfoottray/agent/learning.py
@@ -124,8 +124,8 @@
         Smoothed difference of its margin from the margin predicted for its job.
     """
 
-    looks: int = 0
-    seen: timedelta = timedelta(0)
+    poll_count: int = 0
+    polled_at: timedelta = timedelta(0)
     latency_ms: float = 0.0
     deviation: float = 0.0
 
@@ -273,10 +273,10 @@
         history = self._service_by_run.setdefault(
             observation.service, _ServiceHistory()
         )
-        history.looks += 1
+        history.poll_count += 1
         margin, noise = _unsmooth(observation, history, now)
-        history.seen, history.latency_ms = now, observation.latency_ms
-        if history.looks <= _WARM_UP_POLLS:
+        history.polled_at, history.latency_ms = now, observation.latency_ms
+        if history.poll_count <= _WARM_UP_POLLS:
             return
         model = self._model_by_image.setdefault(observation.image, MarginFilter())
         factors = self._factors(model, observation)
@@ -339,7 +339,7 @@
     latency = observation.latency_ms
     unsmoothing = 0.0
     if history.latency_ms > latency * _MIN_LATENCY_DROP:
-        retained = _SMOOTHING ** ((now - history.seen) / _HALF_SECOND)
+        retained = _SMOOTHING ** ((now - history.polled_at) / _HALF_SECOND)
         unsmoothed = (latency - retained * history.latency_ms) / max(
             1.0 - retained, 0.1
         )
--- a/coltsfoottray/agent/pacing.py
+++ b/coltsfoottray/agent/pacing.py
@@ -3,7 +3,7 @@
 Fillers disturb services, whose tail latency is known only as a rough figure of the last
 half second, and the load of both changes within seconds. Each filler is limited so that
 its estimated pressure leaves the services a safety margin. While a service exceeds its
-target, the heavy fillers that press on it are halved at each poll, and after a short
+target, the speed limits of its heavy fillers are halved at each poll, and after a short
 time all fillers are stopped.
 """
 
@@ -55,7 +55,7 @@
         self._over_since_by_service: dict[str, timedelta] = {}
         self._percent_by_image: dict[str, int] = {}
         # Services that have exceeded their target, for which light fillers are slowed.
-        self._pressed_services: set[str] = set()
+        self._protected_services: set[str] = set()
 
     def adjust(
         self,
@@ -74,7 +74,7 @@
             cannot use more, which limits the pressure they can exert.
         """
         self._record_overruns(observations, now)
-        self._pressed_services &= {each.service for each in observations}
+        self._protected_services &= {each.service for each in observations}
         demand = sum(filler.share for filler in fillers)
         scale = min(1.0, available_share / demand) if demand > 0 else 1.0
         share_by_image: dict[str, float] = {}
@@ -170,10 +170,12 @@
         """
         percent = _affordable_percent(light, margin - _MIN_MARGIN)
         if observation.margin <= 1.0:
-            self._pressed_services.add(observation.service)
+            self._protected_services.add(observation.service)
         elif percent == FULL_SPEED:
-            self._pressed_services.discard(observation.service)
-        return percent if observation.service in self._pressed_services else FULL_SPEED
+            self._protected_services.discard(observation.service)
+        return (
+            percent if observation.service in self._protected_services else FULL_SPEED
+        )
 
 
 def _affordable_percent(demand: float, spare: float) -> int:
--- a/coltsfoottray/jobs/members.py
+++ b/coltsfoottray/jobs/members.py
@@ -18,8 +18,8 @@
 __all__ = ["MemberDirectory", "MemberRow", "Registration", "read_members"]
 
 _RETRY_INTERVAL = timedelta(milliseconds=500)
-# Members join and leave with their VMs, about 50 a day at the design size. Until a new
-# member is known, it is only not asked for help.
+# Members join and leave with their VMs, about 50 a day at the design size. The only
+# effect of a late refresh is that no requests are sent to a new member yet.
 _REFRESH_INTERVAL = timedelta(seconds=10)
 
 
--- a/coltsfoottray/scheduler/advice_requests.py
+++ b/coltsfoottray/scheduler/advice_requests.py
@@ -34,7 +34,7 @@
 
 
 class AdviceRequestSelector:
-    """Select among the steps that wait for tickets."""
+    """Selects among the steps that wait for tickets."""
 
     def __init__(self, *, planner: Planner) -> None:
         self._planner = planner
--- a/coltsfoottray/scheduler/cluster_state.py
+++ b/coltsfoottray/scheduler/cluster_state.py
@@ -190,7 +190,7 @@
     def _fence_lost_runs(
         self, worker: Worker, lost: Sequence[PlacedRun], now_ms: int, *, why: str
     ) -> None:
-        """Declare runs lost, and fence off orders for them that are still under way."""
+        """Declare runs lost, and fence off orders for them that are in transit."""
         worker.session = 0
         self._mark_lost(worker, lost, now_ms, why=why)
 
--- a/coltsfoottray/scheduler/grants.py
+++ b/coltsfoottray/scheduler/grants.py
@@ -69,7 +69,7 @@
 
         An attendant can outlive its worker. If its reports alone renewed the lease, the
         lease of a lost worker would never expire and its runs would never be started
-        elsewhere. A lease that no worker is told of extends nothing, so none is
+        elsewhere. A lease that is not passed on to a worker has no effect, so none is
         granted.
 
         Parameters
--- a/coltsfoottray/scheduler/interference.py
+++ b/coltsfoottray/scheduler/interference.py
@@ -23,7 +23,7 @@
 _UNKNOWN_MARGIN = ServiceMargin(now=1.9, usual=2.4, least=1.5)
 
 # The margin that light fillers must leave to services at the peaks of their load; less
-# cannot be told from the noise of the latency around its target.
+# cannot be distinguished from the noise of the latency around its target.
 _PEAK_MARGIN = 1.1
 
 # The margin that services must keep while a filler starts: it runs at full speed for
--- a/coltsfoottray/scheduler/lengths.py
+++ b/coltsfoottray/scheduler/lengths.py
@@ -111,7 +111,7 @@
 
 
 class LengthEstimator:
-    """Predict the length of a queue's tasks from their declared length.
+    """Predicts the length of a queue's tasks from their declared length.
 
     Attributes
     ----------
--- a/coltsfoottray/scheduler/live.py
+++ b/coltsfoottray/scheduler/live.py
@@ -313,7 +313,7 @@
 
     @property
     def stored_state(self) -> JobState:
-        """The stored state, which callers may be told."""
+        """The stored state, the only one that is reported to callers."""
         if self.stored_summary is None:
             return JobState.QUEUED
         return self.stored_summary.state
--- a/coltsfoottray/scheduler/planner.py
+++ b/coltsfoottray/scheduler/planner.py
@@ -54,7 +54,7 @@
 
 
 class Planner:
-    """Decide from the cluster state, and apply the decisions to it."""
+    """Makes decisions from the cluster state and applies them to it."""
 
     def __init__(self, *, cluster: ClusterState, holder: ConfigHolder) -> None:
         self._cluster = cluster
--- a/coltsfoottray/scheduler/service.py
+++ b/coltsfoottray/scheduler/service.py
@@ -311,8 +311,8 @@
                 )
                 return
             except CommunicationError as error:
-                # The attendant may be starting or gone. It finds the scheduler by
-                # itself later.
+                # The attendant may be starting or may have ended. It finds the
+                # scheduler by itself later.
                 log_event(
                     "scheduler:greeting-failed", peer=str(address), reason=str(error)
                 )
