--- a/tests/scheduler/ends.feature
+++ b/tests/scheduler/ends.feature
@@ -6,11 +6,11 @@
     When the failing job "a" of 1 steps with 1 tasks of 4 s is submitted at entry-1
     And 1 s pass
     And worker-1 is killed and restarted after 1 s
-    And what runs on worker-1 ends right after its new attendant's first poll
+    And all runs on worker-1 end right after its new attendant's first poll
     And the answer to worker-1's next poll is lost
     Then the job "a" is "failed" within 15 s
-    And 2 tasks were started in all
-    And no task ran twice at a time or after its end
+    And 2 tasks were started in total
+    And no task ran twice at the same time or after its end
 
   Scenario: A run completes while its start is requested again, and a poll reply is lost
     # Guards against a refused start recorded as a stop, so that a done task restarts.
@@ -18,11 +18,11 @@
     When the job "a" of 1 steps with 1 tasks of 4 s is submitted at entry-1
     And 1 s pass
     And worker-1 is killed and restarted after 1 s
-    And what runs on worker-1 ends right after its new attendant's first poll
+    And all runs on worker-1 end right after its new attendant's first poll
     And the answer to worker-1's next poll is lost
     Then the job "a" is "completed" within 15 s
-    And 1 tasks were started in all
-    And no task ran twice at a time or after its end
+    And 1 tasks were started in total
+    And no task ran twice at the same time or after its end
 
   Scenario: More runs end while the attendant is dead than one poll lists
     # Guards against ends beyond the 500 listed, mistaken for runs that never existed.
@@ -32,7 +32,7 @@
     And worker-1 is killed and restarted after 4 s
     Then the job "a" is "completed" within 15 s
     And 520 tasks were started, each once
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: More runs end than one poll lists, and none is acknowledged for a while
     # Guards against the same while the store is down, so that each poll repeats the ends.
@@ -45,7 +45,7 @@
     And 1 s pass with the store up again
     Then the job "a" is "completed" within 15 s
     And 520 tasks were started, each once
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: More runs end than one poll lists, and answers to starts are lost
     # Guards against the same when refusals are lost and runs are stopped first.
@@ -59,7 +59,7 @@
     And 1 s pass with the store up again
     Then the job "a" is "completed" within 15 s
     And 520 tasks were started, each once
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A run completes on a worker that then refuses new starts
     # Guards against a refusal by an unhealthy worker that hides the end of a run.
@@ -67,12 +67,12 @@
     When the job "a" of 1 steps with 2 tasks of 4 s is submitted at entry-1
     And 1 s pass
     And worker-1 is killed and restarted after 1 s
-    And what runs on worker-1 ends right after its new attendant's first poll
+    And all runs on worker-1 end right after its new attendant's first poll
     And the answer to worker-1's next poll is lost
     And worker-1's VM is unhealthy for 500 ms
     Then the job "a" is "completed" within 15 s
     And 2 tasks were started, each once
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: An attendant restarts while its worker drains
     # Guards against a start of a running task refused because the worker drains.
@@ -83,7 +83,7 @@
     And worker-1 is killed and restarted after 1 s
     Then the job "a" is "completed" within 15 s
     And 4 tasks were started, each once
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A start delayed in transit arrives after the next scheduler's start
     # Guards against a start fenced off by a newer session, mistaken for its task's end.
@@ -95,10 +95,10 @@
     And 50 ms pass
     And the scheduler resigns, and worker-1 has a session with the next one
     And 60 ms pass
-    And what runs on worker-1 ends
+    And all runs on worker-1 end
     Then the job "a" is "completed" within 15 s
     And 4 tasks were started, each once
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A start that is sent twice is refused because its session is over
     # Guards against a cancelled task that is not stopped in the next session.
@@ -112,13 +112,13 @@
     And 100 ms pass
     And the scheduler resigns, and worker-1 has a session with the next one
     And 60 ms pass
-    And what runs on worker-1 ends
+    And all runs on worker-1 end
     And 1 s pass
     Then 3 tasks run
     When the job "a" is cancelled at the scheduler with status 200
     And 3 s pass
     Then nothing runs on worker-1
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: The answer to a start is lost, and the run ends before the start is sent again
     # Guards against a start that is sent again after its run was stored as done.
@@ -130,8 +130,8 @@
     And 2 s pass
     And worker-1's VM sends heartbeats again
     Then the job "a" is "completed" within 10 s
-    And no task ran twice at a time or after its end
-    And 1 tasks were started in all
+    And no task ran twice at the same time or after its end
+    And 1 tasks were started in total
 
   Scenario: A start is refused because its run has just ended
     # Guards against a refusal recorded in place of an end that no poll has shown yet.
@@ -140,5 +140,5 @@
     And 1 s pass
     And worker-1 restarts just before its task ends, and one poll goes unanswered
     And 3 s pass
-    Then no task ran twice at a time or after its end
-    And 1 tasks were started in all
+    Then no task ran twice at the same time or after its end
+    And 1 tasks were started in total
--- a/tests/scheduler/fillers.feature
+++ b/tests/scheduler/fillers.feature
@@ -69,7 +69,7 @@
     When the filler job "f" of image "new" with 24 tasks of 20 s is submitted
     And 5 s pass
     Then 1 workers run no service
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A service that no other worker may run is not moved
     # Guards against a service that is stopped to be moved and has no ticket for another worker.
--- a/tests/scheduler/found.feature
+++ b/tests/scheduler/found.feature
@@ -8,4 +8,4 @@
     And worker-1's VM drains
     And worker-1 is killed and restarted after 1 s
     And 3 s pass
-    Then no task ran twice at a time or after its end
+    Then no task ran twice at the same time or after its end
--- a/tests/scheduler/gone.feature
+++ b/tests/scheduler/gone.feature
@@ -15,7 +15,7 @@
     And the scheduler is killed
     And 7 s pass with the store up again
     Then 4 tasks run
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A worker is lost, and its attendant restarts
     # Guards against a lease granted to an attendant that cannot reach its worker.
@@ -26,7 +26,7 @@
     And worker-1 is killed and restarted after 1 s
     And 7 s pass
     Then 4 tasks run
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A worker is lost, and every process loses power
     # Guards against holding runs for the lease granted to the previous attendant.
@@ -37,7 +37,7 @@
     And every daemon is killed and restarted
     And 7 s pass
     Then 4 tasks run
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A worker is lost, and the store fails at the same time
     # Guards against an expired lease reported only once, to a scheduler then replaced.
@@ -50,7 +50,7 @@
     And the scheduler is killed
     And 7 s pass with the store up again
     Then 4 tasks run
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A report of an unresponsive worker arrives seconds late
     # Guards against an old report that shortens a lease granted after it was sent.
@@ -65,7 +65,7 @@
     And worker-1 is cut off from the entries and the store for 5 s
     And 2 s pass
     Then 4 tasks run
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A worker answers again while its attendant is cut off
     # Guards against a worker that is sent a lease which the scheduler has shortened.
@@ -78,7 +78,7 @@
     And worker-1 is cut off from the entries and the store for 6 s
     And 2 s pass
     Then 4 tasks run
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A report of an unresponsive worker arrives after its attendant has died
     # Guards against a dead attendant's report that shortens its successor's lease.
@@ -94,4 +94,4 @@
     And worker-1 is cut off from the entries and the store for 7 s
     And 2 s pass
     Then 4 tasks run
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
--- a/tests/scheduler/health.feature
+++ b/tests/scheduler/health.feature
@@ -7,7 +7,7 @@
     When 9 jobs of 1 task of 1 s are submitted, one a second
     Then all 9 jobs are completed within 10 s
     And at most 5 tasks were started on worker-1
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: Tasks on a worker make no progress
     # Guards against tasks that neither fail nor end and are never restarted elsewhere.
@@ -15,7 +15,7 @@
     And tasks on worker-1's VM make no progress
     When 6 jobs of 1 task of 1 s are submitted, one a second
     Then all 6 jobs are completed within 10 s
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A worker begins to fail its tasks
     # Guards against completions of earlier tasks taken as proof that a failing worker is healthy.
--- a/tests/scheduler/lost.feature
+++ b/tests/scheduler/lost.feature
@@ -17,7 +17,7 @@
     And the scheduler is killed
     And 15 s pass
     Then 6 tasks run
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A new incarnation carries out a start seconds late
     # Guards against a start that a new incarnation runs unreported, for a whole lease,
@@ -31,7 +31,7 @@
     And worker-1's VM stops answering
     And 20 s pass
     Then 6 tasks run
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: The new scheduler cannot read the members
     # Guards against a scheduler that announces itself to no one after one failed read.
@@ -56,7 +56,7 @@
     And worker-1's VM stops answering
     And 20 s pass
     Then 6 tasks run
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A new incarnation accepts a start that its restarted attendant does not know
     # Guards against the same when the attendant that knew of the start has died.
@@ -70,7 +70,7 @@
     And worker-1 is killed and restarted after 0 s
     And 20 s pass
     Then 6 tasks run
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A late notice that a worker leaves arrives while it does not answer
     # Guards against an old notice and one unanswered poll mistaken for a worker's end.
@@ -82,7 +82,7 @@
     And 2 s pass
     And worker-1's VM answers again
     And 2 s pass
-    Then no task ran twice at a time or after its end
+    Then no task ran twice at the same time or after its end
 
   Scenario: A worker that answers polls accepts no start
     # Guards against a start that is retried forever because it is never answered.
--- a/tests/scheduler/one_run.feature
+++ b/tests/scheduler/one_run.feature
@@ -6,7 +6,7 @@
     When the job "a" of 2 steps with 3 tasks of 1 s is submitted at entry-1
     Then the job "a" is "completed" within 10 s
     And 6 tasks were started, each once
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: The scheduler dies while tasks run
     # Guards against a new scheduler that restarts running tasks.
@@ -16,7 +16,7 @@
     And the scheduler is killed
     Then the job "a" is "completed" within 20 s
     And 6 tasks were started, each once
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: Every process loses power right after a job was accepted
     # Guards against losing a job of which only the acceptance is stored.
@@ -24,7 +24,7 @@
     When the job "a" of 1 steps with 2 tasks of 1 s is submitted at entry-1
     And every daemon is killed and restarted
     Then the job "a" is "completed" within 20 s
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: Every process loses power while tasks run
     # Guards against tasks started elsewhere while their workers still hold leases.
@@ -34,7 +34,7 @@
     And every daemon is killed and restarted
     Then the job "a" is "completed" within 20 s
     And 4 tasks were started, each once
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: The scheduler freezes and resumes
     # Guards against orders and writes of a scheduler that has been replaced.
@@ -43,7 +43,7 @@
     And 1 s pass
     And the scheduler is frozen for 5 s
     Then the job "a" is "completed" within 30 s
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: An attendant dies and comes back within the lease
     # Guards against tasks restarted because a new attendant does not know them.
@@ -53,7 +53,7 @@
     And worker-1 is killed and restarted after 2 s
     Then the job "a" is "completed" within 20 s
     And 3 tasks were started, each once
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A worker crashes and comes back empty
     # Guards against waiting for the lease of an incarnation that has certainly ended.
@@ -62,7 +62,7 @@
     And 1 s pass
     And worker-1's VM crashes
     Then the job "a" is "completed" within 10 s
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A worker crashes, and its new incarnation accepts a start meant for the old one
     # Guards against giving up runs with the previous incarnation that the new one has
@@ -71,7 +71,7 @@
     When worker-1's VM crashes
     And the job "a" of 1 steps with 6 tasks of 4 s is submitted at entry-1
     Then the job "a" is "completed" within 15 s
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A worker's new incarnation answers before it has sent a heartbeat
     # Guards against the same when a poll is the first to show the new incarnation.
@@ -82,7 +82,7 @@
     And 2 s pass
     And worker-1's VM sends heartbeats again
     Then the job "a" is "completed" within 15 s
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A worker's new incarnation accepts a late start and is never reported
     # Guards against a lease measured by the previous incarnation's clock for a late
@@ -94,7 +94,7 @@
     And 200 ms pass
     And worker-1's VM crashes and sends no heartbeats
     And 20 s pass
-    Then no task ran twice at a time or after its end
+    Then no task ran twice at the same time or after its end
     And the job "a" is "completed" within 60 s
 
   Scenario: A worker's new incarnation ends a task before it has sent a heartbeat
@@ -109,7 +109,7 @@
     And 2 s pass
     And worker-1's VM sends heartbeats again
     Then the job "b" is "completed" within 10 s
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A worker that the scheduler lists as silent comes back
     # Guards against a worker that is back but idle until the next renewal.
@@ -142,7 +142,7 @@
     And worker-1's VM crashes and reports at once
     And worker-1's VM stops answering
     Then the job "a" is "completed" within 25 s
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A start is refused after an earlier attempt went unanswered
     # Guards against giving up a start that the worker carries out late.
@@ -152,7 +152,7 @@
     And 200 ms pass
     And worker-1's VM drains and reports at once
     Then the job "a" is "completed" within 25 s
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A worker crashes before the ends of its tasks are stored
     # Guards against losing tasks whose ends were listed but never stored.
@@ -165,8 +165,8 @@
     And every daemon is killed and restarted
     And 2 s pass with the store up again
     Then the job "a" is "completed" within 15 s
-    And no task ran twice at a time or after its end
-    And 6 tasks were started in all
+    And no task ran twice at the same time or after its end
+    And 6 tasks were started in total
 
   Scenario: A worker that crashed is used again at once
     # Guards against a worker that is back but waits for its attendant's next report.
@@ -185,7 +185,7 @@
     And worker-1's VM crashes
     And every daemon is killed and restarted
     Then the job "a" is "completed" within 6 s
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: After a loss of power the workers are back before the entries
     # Guards against attendants that wait for an entry without power while another runs.
@@ -214,7 +214,7 @@
     And 500 ms pass
     And worker-1's VM stops answering
     Then the job "a" is "completed" within 30 s
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: An attendant is cut off from everything while its worker keeps running
     # Guards against the same when no report on the worker arrives at all.
@@ -223,7 +223,7 @@
     And 500 ms pass
     And worker-1 is cut off from the entries and the store for 15 s
     Then the job "a" is "completed" within 30 s
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A start gets no answer and is carried out seconds later
     # Guards against a late order that starts a run a second time.
@@ -232,7 +232,7 @@
     When the job "a" of 2 steps with 2 tasks of 1 s is submitted at entry-1
     Then the job "a" is "completed" within 20 s
     And 4 tasks were started, each once
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: Starts are carried out and their answers are lost
     Given two entries and 1 workers for jobs
@@ -240,7 +240,7 @@
     When the job "a" of 1 steps with 3 tasks of 2 s is submitted at entry-1
     Then the job "a" is "completed" within 20 s
     And 3 tasks were started, each once
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A draining worker gets no new tasks
     # Guards against tasks placed on a worker that is about to leave.
@@ -257,7 +257,7 @@
     When the job "a" of 1 steps with 40 tasks of 1 s is submitted at entry-1
     Then the job "a" is "completed" within 20 s
     And no worker ever ran more than 8 tasks
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A worker leaves together with its attendant
     # Guards against a service that waits for the lease of a worker that has left.
@@ -277,7 +277,7 @@
     And worker-1's VM leaves without a notice
     And 3 s pass
     Then 4 tasks run
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: The scheduler changes repeatedly while a worker is lost
     # Guards against schedulers that each wait for a lost worker's whole lease.
@@ -287,4 +287,4 @@
     And worker-1 and its VM are lost
     And the scheduler is replaced 4 times, every 5 s
     Then the job "a" is "completed" within 2 s
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
--- a/tests/scheduler/store.feature
+++ b/tests/scheduler/store.feature
@@ -8,7 +8,7 @@
     And the store is down for 5 s
     Then the job "a" is "completed" within 20 s
     And 4 tasks were started, each once
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: Answers of the store are lost after the write
     # Guards against a scheduler that mistakes its own stored rows for another's.
@@ -17,7 +17,7 @@
     And the answers to the next 2 writes of the store are lost
     When the job "a" of 2 steps with 3 tasks of 1 s is submitted at entry-1
     Then the job "a" is "completed" within 30 s
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: Writes are carried out seconds later
     # Guards against a late write that restores a state in which ended tasks wait.
@@ -27,7 +27,7 @@
     And the next 3 writes of the store are carried out late
     Then the job "a" is "completed" within 30 s
     And the job "b" is "completed" within 30 s
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A job is submitted while the store is down
     # Guards against accepting a job that cannot be stored, or running a refused one.
@@ -85,7 +85,7 @@
     And the scheduler is cut off from the store
     When the job "a" of 1 steps with 2 tasks of 1 s is submitted at the other entry
     Then the job "a" is "completed" within 20 s at the other entry
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: The store refuses one entry
     # Guards against jobs refused by an entry that could use another entry as relay.
--- a/tests/steps/job_fault_steps.py
+++ b/tests/steps/job_fault_steps.py
@@ -108,7 +108,7 @@
     context.world.restart_daemon(name)
 
 
-@when("what runs on {name} ends right after its new attendant's first poll")
+@when("all runs on {name} end right after its new attendant's first poll")
 def end_after_poll(context, name):
     world = context.world
     worker = world.cell.worker_by_name[name]
@@ -127,7 +127,7 @@
     world.cell.metadata_table.faults.is_down = True
 
 
-@when("what runs on {name} ends")
+@when("all runs on {name} end")
 def end_all(context, name):
     context.world.cell.worker_by_name[name].finish_all()
 
--- a/tests/steps/job_steps.py
+++ b/tests/steps/job_steps.py
@@ -305,7 +305,7 @@
     assert all(number == 1 for number in by_task.values()), by_task
 
 
-@then("{count:d} tasks were started in all")
+@then("{count:d} tasks were started in total")
 def check_all_starts(context, count):
     starts = context.world.cell.observer.starts
     assert len(starts) == count, starts
@@ -345,7 +345,7 @@
     assert len(running) == count, running
 
 
-@then("no task ran twice at a time or after its end")
+@then("no task ran twice at the same time or after its end")
 def check_violations(context):
     violations = context.world.cell.observer.violations
     assert not violations, violations
--- a/tests/steps/lost_steps.py
+++ b/tests/steps/lost_steps.py
@@ -33,7 +33,7 @@
     world.resume(f"{worker}/vm")
 
 
-@then('the task "{task}" runs on for {ms:d} ms')
+@then('the task "{task}" keeps running for {ms:d} ms')
 def check_runs_on(context, task, ms):
     world = context.world
     running = world.cell.observer.running_by_task
@@ -192,7 +192,7 @@
     worker._renew = lambda query: HttpResponse(status=500, body=b"no renewal")
 
 
-@when('the VM that runs "{task}" answers all but renewals')
+@when('the VM that runs "{task}" answers all requests but renewals')
 def ignore_renewals(context, task):
     worker = _stand_in(context.world, task)
     handle = worker.handle
--- a/tests/tasks/lost.feature
+++ b/tests/tasks/lost.feature
@@ -24,7 +24,7 @@
     When "arolwg" submits the task "b1" which runs for 10 s
     And the task "b1" runs for 2000 ms
     And the VM that runs "b1" is silent for 1500 ms from just before a renewal
-    Then the task "b1" runs on for 3000 ms
+    Then the task "b1" keeps running for 3000 ms
     And the task "b1" is finished
     And "b1" was started 1 times
 
@@ -105,7 +105,7 @@
     Given two entries and 2 workers in memory
     When "arolwg" submits the task "b1" which runs for 10 s
     And the task "b1" runs for 2000 ms
-    And the VM that runs "b1" answers all but renewals
+    And the VM that runs "b1" answers all requests but renewals
     And the task "b1" is finished within 60 s
     Then "b1" was started 2 times
     And no worker was ever overcommitted, and nothing ran twice
@@ -116,7 +116,7 @@
     When "arolwg" submits the task "b1" which runs for 10 s
     And the task "b1" runs for 2000 ms
     And the VM that runs "b1" accepts the next renewal, and its answer is lost
-    Then the task "b1" runs on for 6000 ms
+    Then the task "b1" keeps running for 6000 ms
     And the task "b1" is finished
     And "b1" was started 1 times
     And every renewal had a positive duration
