--- a/tests/jobs/slow_links.feature
+++ b/tests/jobs/slow_links.feature
@@ -1,8 +1,8 @@
 Feature: An entry behind a slow link stays up to date
 
   Scenario: A config takes 2 s to reach an entry
-    # Guards against a fixed timeout for a whole answer: an answer in transit is given up
-    # and requested again, without end.
+    # Guards against a fixed timeout for a whole answer: an answer in transit is
+    # abandoned and requested again, without end.
     Given two entries and 1 workers for jobs
     And the link of entry-2 has a bandwidth of 250 kB/s
     When the operator adds 2500 routes
--- a/tests/scheduler/advice.feature
+++ b/tests/scheduler/advice.feature
@@ -1,7 +1,8 @@
 Feature: Queues whose policy restricts the workers of a step
 
   Scenario: A step is placed only on workers that the policy allows
-    # Guards against a start without the ticket of the service that allows workers to run a step.
+    # Guards against a start without a ticket from the service that decides which
+    # workers may run a step.
     Given two entries and 3 workers for jobs
     And the queue's policy allows only worker-2
     When the job "a" of 4 tasks of 1 s that need tickets is submitted at entry-1
--- a/tests/scheduler/ends.feature
+++ b/tests/scheduler/ends.feature
@@ -35,7 +35,7 @@
     And no task ran twice at the same time or after its end
 
   Scenario: More runs end than one poll lists, and none is acknowledged for a while
-    # Guards against the same while the store is down, so that each poll repeats the ends.
+    # Guards against the same while the store is down and each poll repeats the ends.
     Given two entries and 1 workers for jobs
     When the job "a" of 520 small tasks of 4 s is submitted at entry-1
     And 1 s pass
@@ -120,7 +120,7 @@
     Then nothing runs on worker-1
     And no task ran twice at the same time or after its end
 
-  Scenario: The answer to a start is lost, and the run ends before the start is sent again
+  Scenario: The answer to a start is lost, and the run ends before the start is repeated
     # Guards against a start that is sent again after its run was stored as done.
     Given two entries and 1 workers for jobs
     And the answers to the next 1 starts at worker-1 are lost
--- a/tests/scheduler/fillers.feature
+++ b/tests/scheduler/fillers.feature
@@ -1,7 +1,8 @@
 Feature: Fillers beside services with a latency target
 
   Scenario: A filler finds no worker without interference
-    # Guards against a filler that waits for a better place until its caller considers it lost.
+    # Guards against a filler that waits for a better place until its caller considers
+    # it lost.
     Given two entries and 2 workers for jobs
     When a service of 2 tasks near its latency target is submitted at entry-1
     And 3 s pass
@@ -10,7 +11,8 @@
     Then a task of "f" was started
 
   Scenario: Fillers beside a service over its target are suspended
-    # Guards against fillers considered harmless that keep running beside a service over target.
+    # Guards against fillers considered harmless that keep running beside a service over
+    # its target.
     Given two entries and 1 workers for jobs
     When a service of 1 tasks over its latency target is submitted at entry-1
     And the filler job "f" of 2 tasks of 30 s is submitted at entry-1
@@ -18,7 +20,8 @@
     Then every filler of "f" runs at 0 percent
 
   Scenario: Learned pressures survive a loss of power
-    # Guards against builds that wait until the pressure of each pair of images is learned again.
+    # Guards against builds that wait until the pressure of each pair of images is
+    # learned again.
     Given two entries and 1 workers for jobs
     When a service of 1 tasks far below its latency target is submitted at entry-1
     And 4 s pass
@@ -29,7 +32,8 @@
     Then the scheduler knows the pressure of "fill" on "svc"
 
   Scenario: Services of several images are packed, which leaves whole workers to fillers
-    # Guards against services spread over all workers by image, beside which builds run slowly.
+    # Guards against services spread over all workers by image, beside which builds run
+    # slowly.
     Given two entries and 4 workers for jobs
     When the service "p" of image "one" that reserves 3000 of 8000 millicores is submitted
     And the service "q" of image "two" that reserves 3000 of 8000 millicores is submitted
@@ -39,8 +43,9 @@
     And 2 s pass
     Then the tasks of "f" run on workers without services
 
-  Scenario: A filler known to be harmless leaves workers without services to other fillers
-    # Guards against light builds that occupy the only workers on which heavy builds can run.
+  Scenario: A harmless filler leaves workers without services to other fillers
+    # Guards against light builds that occupy the only workers on which heavy builds can
+    # run.
     Given two entries and 2 workers for jobs
     When the service "p" of image "one" that reserves 5000 of 8000 millicores is submitted
     And the service "q" of image "one" that reserves 5000 of 8000 millicores is submitted
@@ -57,7 +62,8 @@
     Then the tasks of "c" run on workers without services
 
   Scenario: Services left on two workers are consolidated for waiting fillers
-    # Guards against builds that wait while each worker runs one of a few remaining services.
+    # Guards against builds that wait while each worker runs one of a few remaining
+    # services.
     Given two entries and 2 workers for jobs
     When the service "p" of image "one" that reserves 6000 of 8000 millicores is submitted
     And the service "q" of image "two" that reserves 1000 of 8000 millicores is submitted
@@ -72,7 +78,8 @@
     And no task ran twice at the same time or after its end
 
   Scenario: A service that no other worker may run is not moved
-    # Guards against a service that is stopped to be moved and has no ticket for another worker.
+    # Guards against a service that is stopped to be moved and has no ticket for another
+    # worker.
     Given two entries and 2 workers for jobs
     When the service "p" of image "one" that reserves 6000 of 8000 millicores is submitted
     And the service "q" of image "two" that reserves 1000 of 8000 millicores is submitted
@@ -86,7 +93,8 @@
     And the task of "r" was started 1 times
 
   Scenario: Services that fill half of a worker are not mixed with those of other images
-    # Guards against workers with services of so many images that every filler interferes with some.
+    # Guards against workers with services of so many images that every filler
+    # interferes with some of them.
     Given two entries and 3 workers for jobs
     When the service "p" of image "one" that reserves 3000 of 8000 millicores is submitted
     And the service "q" of image "two" that reserves 5000 of 8000 millicores is submitted
--- a/tests/scheduler/fuzz.feature
+++ b/tests/scheduler/fuzz.feature
@@ -1,7 +1,7 @@
 Feature: Jobs under random combinations of faults
 
-  Scenario: No order of faults loses or doubles a task of a job
-    # Daemons, workers, links and the store fail in any order; the oracle tracks all runs.
+  Scenario: No sequence of faults loses a task of a job or runs it twice
+    # Daemons, workers, links and the store fail in any order; an oracle tracks runs.
     Then the machine "jobs" finds nothing in 25 runs of 20 steps
 
   Scenario: The oracle detects a run that is given up too early
@@ -13,5 +13,5 @@
     Then with the planted fault "refusals without proof" the machine "jobs" fails
 
   Scenario: The oracle detects runs that a lost worker holds forever
-    # Planted fault: an attendant that cannot reach its worker extends the worker's lease.
+    # Planted fault: an attendant that cannot reach its worker extends its lease.
     Then with the planted fault "leases renewed for workers out of reach" the machine "jobs" fails
--- a/tests/scheduler/health.feature
+++ b/tests/scheduler/health.feature
@@ -1,7 +1,8 @@
 Feature: Unhealthy workers are blocked
 
   Scenario: A worker fails all its tasks
-    # Guards against a worker that reports itself healthy but costs each task there an attempt.
+    # Guards against a worker that reports itself healthy but costs each task there an
+    # attempt.
     Given two entries and 3 workers for jobs
     And worker-1's VM fails everything it starts
     When 9 jobs of 1 task of 1 s are submitted, one a second
@@ -18,7 +19,8 @@
     And no task ran twice at the same time or after its end
 
   Scenario: A worker begins to fail its tasks
-    # Guards against completions of earlier tasks taken as proof that a failing worker is healthy.
+    # Guards against completions of earlier tasks taken as proof that a failing worker
+    # is healthy.
     Given a healthy worker
     And it started a task of job "a" at second 1
     When a task of job "b" fails there at second 2
@@ -57,7 +59,7 @@
     Then it is not blocked
 
   Scenario: A worker that may still be unhealthy is probed by one task at a time
-    # Guards against all waiting tasks being placed on a worker whose block has just ended.
+    # Guards against placing all waiting tasks on a worker whose block has just ended.
     Given two entries and 2 workers for jobs
     And worker-1's VM fails everything it starts
     When the job "a" of 1 steps with 8 tasks of 2 s is submitted at entry-1
@@ -77,7 +79,7 @@
     Then it is not blocked
 
   Scenario: A job that fails on every worker does not block the workers
-    # Guards against healthy workers blocked because of a job that fails on every worker.
+    # Guards against blocking healthy workers because of a job that fails on every one.
     Given two entries and 2 workers for jobs
     When the failing job "a" of 1 steps with 8 tasks of 1 s is submitted at entry-1
     And 2 s pass
--- a/tests/scheduler/one_run.feature
+++ b/tests/scheduler/one_run.feature
@@ -64,7 +64,7 @@
     Then the job "a" is "completed" within 10 s
     And no task ran twice at the same time or after its end
 
-  Scenario: A worker crashes, and its new incarnation accepts a start meant for the old one
+  Scenario: A worker's new incarnation accepts a start meant for the previous one
     # Guards against giving up runs with the previous incarnation that the new one has
     # accepted.
     Given two entries and 2 workers for jobs
--- a/tests/scheduler/starved.feature
+++ b/tests/scheduler/starved.feature
@@ -1,14 +1,15 @@
 Feature: Steps that can run are not starved by steps that cannot
 
   Scenario: Jobs that no worker can run precede a job that any worker can run
-    # Guards against steps that fit on no worker and use up the misses allowed in a round.
+    # Guards against steps that fit on no worker and use up the misses of a round.
     Given two entries and 2 workers for jobs
     When 70 long-running jobs that need the label "zz" are submitted at entry-1
     And the job "b" of 1 steps with 1 tasks of 1 s is submitted at entry-1
     Then the job "b" is "completed" within 60 s
 
   Scenario: Jobs with one task too many precede a job that any worker can run
-    # Guards against steps for which only examining each worker shows that they fit nowhere.
+    # Guards against steps for which only an examination of each worker shows that they
+    # fit nowhere.
     Given two entries and 2 workers for jobs
     When 200 long-running jobs of 3 tasks each run with anti-affinity
     And 3 s pass
@@ -31,7 +32,8 @@
     And the job "slow" is "completed" within 12 s
 
   Scenario: Of two jobs that a round reaches last the urgent one starts first
-    # Guards against fairness that overrides urgency behind more steps than a round examines.
+    # Guards against fairness that overrides urgency behind more steps than a round
+    # examines.
     Given two entries and 1 workers for jobs
     When 70 long-running jobs of 2 tasks each run with anti-affinity
     And 1 s pass
@@ -47,7 +49,7 @@
     And the job "slow" is "completed" within 12 s
 
   Scenario: More jobs wait than a round examines, and start in order
-    # Guards against later jobs that start before earlier ones while all workers are full.
+    # Guards against later jobs that start before earlier ones on full workers.
     Given two entries and 1 workers for jobs
     When 70 long-running jobs that need the label "zz" are submitted at entry-1
     And 200 jobs that take a whole worker for 300 ms are submitted
@@ -63,7 +65,8 @@
     Then the job "b" is "completed" within 60 s
 
   Scenario: The most urgent step is allowed on no worker
-    # Guards against a step without allowed workers for which advice is requested again and again.
+    # Guards against a step without allowed workers for which advice is requested again
+    # and again.
     Given two entries and 2 workers for jobs
     And the queue's policy allows only worker-1
     And the policy allows the job "a" on no worker
@@ -74,7 +77,8 @@
     Then the job "a" is "completed" within 15 s
 
   Scenario: Only one of many workers may run a step, and it is not among the best
-    # Guards against advice requested on the best thirty workers only, and never on the others.
+    # Guards against advice requested on the best thirty workers only, and never on the
+    # others.
     Given two entries and 40 workers for jobs
     And the queue's policy allows only worker-9
     When the job "a" of 2 tasks of 1 s that need tickets is submitted at entry-1
@@ -82,7 +86,8 @@
     And no start was refused for lack of a ticket
 
   Scenario: Urgent steps request advice again and again and cannot use the answer
-    # Guards against urgent steps whose tickets expire unused and that take all requests for advice.
+    # Guards against urgent steps whose tickets expire unused and that take all requests
+    # for advice.
     Given two entries and 2 workers for jobs
     And the queue's policy allows only worker-1
     When 40 long-running jobs of 2 tasks each run with anti-affinity and tickets
--- a/tests/scheduler/store.feature
+++ b/tests/scheduler/store.feature
@@ -97,7 +97,7 @@
     Then the job "a" is "completed" within 5 s at the other entry
 
   Scenario: Entries receive no more data of a large job than of a small one
-    # Guards against entries on slow links that receive every task change and fall behind.
+    # Guards against entries on slow links that receive every change of a task and lag.
     Given two entries and 3 workers for jobs
     When the job "a" of 3 steps with 8 tasks of 1 s is submitted at entry-1
     Then the job "a" is "completed" within 20 s
--- a/tests/tasks/fuzz.feature
+++ b/tests/tasks/fuzz.feature
@@ -1,13 +1,13 @@
-Feature: Batch tasks under every fault at once
+Feature: Batch tasks under random combinations of faults
 
-  Scenario: No order of faults loses, doubles or overcommits
-    # Daemons and VMs die, freeze and come back, links and messages fail, the table too.
+  Scenario: No sequence of faults loses a task, runs it twice or overcommits a VM
+    # Daemons, VMs, links, messages and the table fail and recover in any order.
     Then the machine "batch tasks" finds nothing in 40 runs of 25 steps
 
-  Scenario: The oracle sees a VM that is overcommitted
-    # Planted: the worker's attendant admits whatever is proposed.
+  Scenario: The oracle detects a VM that is overcommitted
+    # Planted fault: the worker's attendant admits every proposed task.
     Then with the planted fault "ledger without bounds" the machine "batch tasks" fails
 
-  Scenario: The oracle sees a task that is started twice
-    # Planted: an owner that loads the rows treats running tasks as queued.
+  Scenario: The oracle detects a task that is started twice
+    # Planted fault: an owner that loads the rows treats running tasks as queued.
     Then with the planted fault "moves without attempts" the machine "batch tasks" fails
