--- a/coltsfoottray/scheduler/advice_requests.py
+++ b/coltsfoottray/scheduler/advice_requests.py
@@ -48,7 +48,7 @@
             if request is not None:
                 self._urgent_asked += 1
                 return request
-        # Urgent steps whose tickets expire unused would take all requests for ever, so
+        # Urgent steps whose tickets expire unused would take all requests forever, so
         # some requests go to the step that was considered longest ago.
         self._urgent_asked = 0
         waiting.sort(key=lambda step: step.advice_state.considered_at or now)
--- a/coltsfoottray/scheduler/cluster_state.py
+++ b/coltsfoottray/scheduler/cluster_state.py
@@ -164,7 +164,7 @@
 
         A worker that restarts under its id accepts starts meant for its previous
         incarnation until its attendant learns of the new one. If these runs were
-        declared lost too early, they would run beside their successors. A poll in a
+        declared lost too early, they would overlap with their successors. A poll in a
         later session lists the runs and fences off all earlier starts.
         """
         if worker.replaced_since is None:
@@ -252,7 +252,7 @@
         kind = EndKind.STOPPED
         if rejected.reason is Refusal.INVALID:
             # The worker will never accept it. It counts as a failure, since otherwise
-            # the job would be retried for ever.
+            # the job would be retried forever.
             kind = EndKind.FAILED
         self._apply_end(worker, rejected.ref, kind, "", now_ms)
 
--- a/coltsfoottray/scheduler/grants.py
+++ b/coltsfoottray/scheduler/grants.py
@@ -14,9 +14,9 @@
 
 __all__ = ["Grants", "is_out_of_order"]
 
-# Longest lease granted in reply to one report. The runs of a lost worker are given up
-# once the lease has expired. An attendant that restarts must return before then, or its
-# worker stops all tasks; an ordinary outage of a VM lasts 3.5 s.
+# Longest lease granted in reply to one report. The runs of a lost worker are declared
+# lost once the lease has expired. An attendant must restart before then, or its worker
+# stops all tasks; an ordinary outage of a VM lasts 3.5 s.
 _MAX_LEASE = timedelta(seconds=7)
 
 # A worker is listed as silent if no report has shown it alive for this long: two and
--- a/coltsfoottray/scheduler/messages.py
+++ b/coltsfoottray/scheduler/messages.py
@@ -67,8 +67,8 @@
     Parameters
     ----------
     session : int
-        The orders are void in any other session, since the scheduler may have given
-        the runs up and started them elsewhere.
+        The orders are void in any other session, since the scheduler may have
+        declared the runs lost and started their tasks elsewhere.
     life : str
         The incarnation of the worker that the orders are for. They are void in any
         other incarnation for the same reason.
--- a/tests/scheduler/fuzz.feature
+++ b/tests/scheduler/fuzz.feature
@@ -4,8 +4,9 @@
     # Daemons, workers, links and the store fail in any order; an oracle tracks runs.
     Then the machine "jobs" finds nothing in 25 runs of 20 steps
 
-  Scenario: The oracle detects a run that is given up too early
-    # Planted fault: a silent worker is given up before its lease has expired.
+  Scenario: The oracle detects a run that is declared lost too early
+    # Planted fault: the runs of a silent worker are declared lost before its lease has
+    # expired.
     Then with the planted fault "runs given up early" the machine "jobs" fails
 
   Scenario: The oracle detects a false refusal
--- a/tests/scheduler/one_run.feature
+++ b/tests/scheduler/one_run.feature
@@ -65,8 +65,8 @@
     And no task ran twice at the same time or after its end
 
   Scenario: A worker's new incarnation accepts a start meant for the previous one
-    # Guards against giving up runs with the previous incarnation that the new one has
-    # accepted.
+    # Guards against declaring runs lost with the previous incarnation although the new
+    # one has accepted them.
     Given two entries and 2 workers for jobs
     When worker-1's VM crashes
     And the job "a" of 1 steps with 6 tasks of 4 s is submitted at entry-1
@@ -145,7 +145,7 @@
     And no task ran twice at the same time or after its end
 
   Scenario: A start is refused after an earlier attempt went unanswered
-    # Guards against giving up a start that the worker carries out late.
+    # Guards against declaring a start rejected that the worker carries out late.
     Given two entries and 2 workers for jobs
     And the next 3 starts at worker-1 are carried out late
     When the job "a" of 1 steps with 6 tasks of 4 s is submitted at entry-1
--- a/tests/steps/job_fault_steps.py
+++ b/tests/steps/job_fault_steps.py
@@ -20,7 +20,7 @@
 
 
 @when("the scheduler freezes")
-def freeze_scheduler_for_good(context):
+def freeze_scheduler_permanently(context):
     context.world.fabric.faults(context.world.cell.scheduler()).pause()
 
 
--- a/tests/tasks/one_place.feature
+++ b/tests/tasks/one_place.feature
@@ -96,7 +96,7 @@
     Then the task "b9" is finished
 
   Scenario: A task that can never run under its customer's plan
-    # Guards against a task that waits for ever instead of being refused.
+    # Guards against a task that waits forever instead of being refused.
     Given two entries and 1 workers in memory
     When "arolwg" submits the task "huge" of 65 processors
     Then it is refused with status 403
