--- a/coltsfoottray/scheduler/cluster_state.py
+++ b/coltsfoottray/scheduler/cluster_state.py
@@ -84,7 +84,7 @@
     def apply_report(self, report: Report, now: timedelta, now_ms: int) -> int:
         """Apply a report; return the number of the last end to acknowledge."""
         worker = self.fleet.worker_by_id[report.worker]
-        if not self._reconcile_life(worker, report, now, now_ms):
+        if not self._reconcile_incarnations(worker, report, now, now_ms):
             return 0
         self._update_description(worker, report)
         ended = [
@@ -141,11 +141,11 @@
             self._fence_lost_runs(worker, held, now_ms, why=why)
             worker.is_reachable = False
 
-    def _reconcile_life(
+    def _reconcile_incarnations(
         self, worker: Worker, report: Report, now: timedelta, now_ms: int
     ) -> bool:
         """Reconcile the runs of other incarnations; return False if that must wait."""
-        superseded = worker.held_by_other_lives(report.life)
+        superseded = worker.held_by_other_incarnations(report.life)
         if superseded and not self._has_listed_all_runs(worker, report, now):
             return False
         if report.is_replaced:
@@ -164,7 +164,7 @@
 
         A worker that restarts under its id accepts starts meant for its previous
         incarnation until its attendant learns of the new one. If these runs were
-        declared lost too early, they would run beside their successors. A poll in a
+        declared lost too early, they would overlap with their successors. A poll in a
         later session lists the runs and fences off all earlier starts.
         """
         if worker.replaced_since is None:
@@ -190,7 +190,7 @@
     def _fence_lost_runs(
         self, worker: Worker, lost: Sequence[PlacedRun], now_ms: int, *, why: str
     ) -> None:
-        """Declare runs lost, and fence off orders for them that are still under way."""
+        """Declare runs lost, and fence off orders for them that are in transit."""
         worker.session = 0
         self._mark_lost(worker, lost, now_ms, why=why)
 
@@ -252,7 +252,7 @@
         kind = EndKind.STOPPED
         if rejected.reason is Refusal.INVALID:
             # The worker will never accept it. It counts as a failure, since otherwise
-            # the job would be retried for ever.
+            # the job would be retried forever.
             kind = EndKind.FAILED
         self._apply_end(worker, rejected.ref, kind, "", now_ms)
 
--- a/coltsfoottray/scheduler/grants.py
+++ b/coltsfoottray/scheduler/grants.py
@@ -14,9 +14,9 @@
 
 __all__ = ["Grants", "is_out_of_order"]
 
-# Longest lease granted in reply to one report. The runs of a lost worker are given up
-# once the lease has expired. An attendant that restarts must return before then, or its
-# worker stops all tasks; an ordinary outage of a VM lasts 3.5 s.
+# Longest lease granted in reply to one report. The runs of a lost worker are declared
+# lost once the lease has expired. An attendant must restart before then, or its worker
+# stops all tasks; an ordinary outage of a VM lasts 3.5 s.
 _MAX_LEASE = timedelta(seconds=7)
 
 # A worker is listed as silent if no report has shown it alive for this long: two and
@@ -69,7 +69,7 @@
 
         An attendant can outlive its worker. If its reports alone renewed the lease, the
         lease of a lost worker would never expire and its runs would never be started
-        elsewhere. A lease that no worker is told of extends nothing, so none is
+        elsewhere. A lease that is not passed on to a worker has no effect, so none is
         granted.
 
         Parameters
@@ -184,10 +184,10 @@
         )
 
     def ensure_session(self, worker: Worker, report: Report) -> None:
-        """Grant a new session to each new attendant and each new life of its worker.
+        """Grant a new session to each new incarnation of an attendant or its worker.
 
         Once a worker has been polled in its new session, it rejects orders that were
-        meant for an earlier life.
+        meant for an earlier incarnation.
         """
         is_known = (
             worker.incarnation == report.incarnation
--- a/coltsfoottray/scheduler/live.py
+++ b/coltsfoottray/scheduler/live.py
@@ -32,7 +32,7 @@
 
 @dataclass(kw_only=True)
 class AdviceState:
-    """Requests for advice about a step, and refusals.
+    """State of the requests for advice about a step.
 
     Parameters
     ----------
@@ -40,7 +40,7 @@
         When advice about the step was last requested or its turn last came; before
         that, when the step became ready to start.
     refused_by_life : dict
-        For each life of a worker that may not run the step, when it was refused.
+        For each incarnation of a worker that may not run the step, when it was refused.
     """
 
     considered_at: timedelta | None = None
@@ -66,10 +66,10 @@
     avoid_by_index : dict
         For each task index, the workers on which the task failed or stalled.
     ticket_by_life : dict
-        For each life of a worker, the ticket that allows it to run the step.
+        For each incarnation of a worker, the ticket that allows it to run the step.
     last_tried_round : int
         The last round in which a worker was sought for the step, 0 for none.
-    hindrance : Hindrance, optional
+    wait_reason : WaitReason, optional
         Why the step waits, as last logged.
     """
 
@@ -85,7 +85,7 @@
     ticket_by_life: dict[str, Ticket] = field(default_factory=dict)
     advice_state: AdviceState = field(default_factory=AdviceState)
     last_tried_round: int = 0
-    hindrance: WaitReason | None = None
+    wait_reason: WaitReason | None = None
 
     def __post_init__(self) -> None:
         self.recount()
@@ -100,7 +100,7 @@
         self.done = sum(record.phase is TaskPhase.DONE for record in self.records)
 
     def valid_lives(self, now: timedelta) -> set[str]:
-        """Return the lives whose tickets are valid until a start can reach them."""
+        """Return the worker incarnations with tickets that outlast sending a start."""
         return {
             life
             for life, ticket in self.ticket_by_life.items()
@@ -169,7 +169,7 @@
         The part of the progress that callers ask for, stored in a row of its own.
     summary_version : int
         Version of the summary's row, 0 if there is none.
-    lengths : LengthBook
+    lengths : LengthEstimator
         Estimates how long its tasks take.
     """
 
@@ -266,7 +266,7 @@
 
     def _report_length(self, step: int, seen_ms: float) -> None:
         declared_ms = self.accepted.spec.steps[step].estimate_ms
-        self._lengths.note(
+        self._lengths.add_observation(
             self.accepted.queue, declared_ms=declared_ms, seen_ms=seen_ms
         )
 
@@ -313,7 +313,7 @@
 
     @property
     def stored_state(self) -> JobState:
-        """The stored state, which callers may be told."""
+        """The stored state, the only one that is reported to callers."""
         if self.stored_summary is None:
             return JobState.QUEUED
         return self.stored_summary.state
--- a/coltsfoottray/scheduler/messages.py
+++ b/coltsfoottray/scheduler/messages.py
@@ -12,15 +12,15 @@
 from coltsfoottray.types import Address, Resources
 
 __all__ = [
-    "HELLO",
+    "JOB_NOTIFICATION",
     "ORDERS",
     "PING",
     "REPORT",
+    "SCHEDULER_ANNOUNCEMENT",
     "STATE",
-    "TELL",
     "Acknowledged",
     "EndKind",
-    "Hello",
+    "JobNotification",
     "Orders",
     "Ping",
     "PingReply",
@@ -30,10 +30,10 @@
     "ReportReply",
     "RunEnd",
     "RunStatus",
+    "SchedulerAnnouncement",
     "StartOrder",
     "StateQuery",
     "StateReply",
-    "Tell",
 ]
 
 
@@ -67,11 +67,11 @@
     Parameters
     ----------
     session : int
-        The orders are void in any other session, since the scheduler may have given
-        the runs up and started them elsewhere.
+        The orders are void in any other session, since the scheduler may have
+        declared the runs lost and started their tasks elsewhere.
     life : str
-        The life of the worker that the orders are for. They are void in any other life
-        for the same reason.
+        The incarnation of the worker that the orders are for. They are void in any
+        other incarnation for the same reason.
     acknowledged : int
         Run ends up to this number are stored.
     """
@@ -103,10 +103,10 @@
         The last session granted, 0 for none. A session is the fencing token of the
         attendant's orders to the worker.
     looked : int
-        The session in which this life of the worker was last polled for its runs, 0
-        for none. Orders of earlier sessions no longer take effect on the worker.
+        The session in which this incarnation of the worker was last polled for its
+        runs, 0 for none. The worker no longer executes orders of earlier sessions.
     life : str
-        The worker's life, empty if unknown.
+        The worker's incarnation, empty if unknown.
     number : int
         Increases with each report of this attendant, so that reports that arrive out
         of order are detected.
@@ -117,8 +117,8 @@
     is_reachable : bool
         Whether the worker answered the last poll.
     is_replaced : bool
-        Whether a new life, which has sent no heartbeat yet, answers under the worker's
-        id.
+        Whether a new incarnation that has sent no heartbeat yet answers under the
+        worker's id.
     starting : list of RunRef
         Starts whose outcome is not known yet.
     stalled : list of RunRef
@@ -156,7 +156,7 @@
 
     @property
     def is_worker_alive(self) -> bool:
-        """Whether the worker's life is known and answers its attendant."""
+        """Whether the worker's incarnation is known and answers its attendant."""
         return self.is_reachable and bool(self.life)
 
 
@@ -192,14 +192,14 @@
     pressures: list[Pressure] = msgspec.field(default_factory=list)
 
 
-class Hello(msgspec.Struct, frozen=True, kw_only=True):
+class SchedulerAnnouncement(msgspec.Struct, frozen=True, kw_only=True):
     """Announces the scheduler to an attendant; the highest epoch is valid."""
 
     epoch: int
     scheduler: Address
 
 
-class Tell(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
+class JobNotification(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
     """Stored acceptances and cancellations, sent because the change feed is slower."""
 
     accepted: list[AcceptedJob] = msgspec.field(default_factory=list)
@@ -212,7 +212,7 @@
     Parameters
     ----------
     is_scheduler : bool
-        False if an entry that received a `Tell` is not the scheduler.
+        False if an entry that received a `JobNotification` is not the scheduler.
     """
 
     is_scheduler: bool = True
@@ -250,8 +250,12 @@
 
 
 REPORT = Call(name="Report", request_type=Report, reply_type=ReportReply)
-HELLO = Call(name="Hello", request_type=Hello, reply_type=Acknowledged)
+SCHEDULER_ANNOUNCEMENT = Call(
+    name="Hello", request_type=SchedulerAnnouncement, reply_type=Acknowledged
+)
 ORDERS = Call(name="Orders", request_type=Orders, reply_type=Acknowledged)
-TELL = Call(name="Tell", request_type=Tell, reply_type=Acknowledged)
+JOB_NOTIFICATION = Call(
+    name="Tell", request_type=JobNotification, reply_type=Acknowledged
+)
 STATE = Call(name="State", request_type=StateQuery, reply_type=StateReply)
 PING = Call(name="Ping", request_type=Ping, reply_type=PingReply)
--- a/tests/scheduler/gone.feature
+++ b/tests/scheduler/gone.feature
@@ -3,95 +3,95 @@
   # Users consider a long-running task lost if it has no run for 3 s although there is
   # room and nothing has failed for 4 s: 7 s after the last fault, all tasks must run.
 
-  Scenario: A worker is lost, and the scheduler that was told is replaced
+  Scenario: A worker is lost, and the scheduler that was notified is replaced
     # Guards against a lost worker's lease that its attendant's reports renew.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
+    When the long-running job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
-    And worker-1's machine is lost permanently
+    And worker-1's VM is lost permanently
     And 4 s pass
     And the store is down from now on
     And 4 s pass
     And the scheduler is killed
     And 7 s pass with the store up again
     Then 4 tasks run
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A worker is lost, and its attendant restarts
     # Guards against a lease granted to an attendant that cannot reach its worker.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
+    When the long-running job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
-    And worker-1's machine is lost permanently
-    And worker-1 is killed and started anew after 1 s
+    And worker-1's VM is lost permanently
+    And worker-1 is killed and restarted after 1 s
     And 7 s pass
     Then 4 tasks run
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A worker is lost, and every process loses power
-    # Guards against holding runs for a lease granted before the last attendant died.
+    # Guards against holding runs for the lease granted to the previous attendant.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
+    When the long-running job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
-    And worker-1's machine is lost permanently
-    And every daemon is killed and started anew
+    And worker-1's VM is lost permanently
+    And every daemon is killed and restarted
     And 7 s pass
     Then 4 tasks run
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A worker is lost, and the store fails at the same time
     # Guards against an expired lease reported only once, to a scheduler then replaced.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
+    When the long-running job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
-    And worker-1's machine is lost permanently
+    And worker-1's VM is lost permanently
     And the store is down from now on
     And 7 s pass
     And the scheduler is killed
     And 7 s pass with the store up again
     Then 4 tasks run
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A report of an unresponsive worker arrives seconds late
     # Guards against an old report that shortens a lease granted after it was sent.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
+    When the long-running job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
-    And worker-1's machine stops answering
+    And worker-1's VM stops answering
     And 4 s pass
     And messages sent to the scheduler for 1 s arrive late
-    And worker-1's machine answers again
+    And worker-1's VM answers again
     And 3 s pass
     And worker-1 is cut off from the entries and the store for 5 s
     And 2 s pass
     Then 4 tasks run
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A worker answers again while its attendant is cut off
     # Guards against a worker that is sent a lease which the scheduler has shortened.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
+    When the long-running job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
-    And worker-1's machine stops answering
+    And worker-1's VM stops answering
     And 3 s pass
-    And worker-1's machine answers again
+    And worker-1's VM answers again
     And worker-1 is cut off from the entries and the store for 6 s
     And 2 s pass
     Then 4 tasks run
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A report of an unresponsive worker arrives after its attendant has died
     # Guards against a dead attendant's report that shortens its successor's lease.
     Given two entries and 2 workers for jobs
-    When the lasting job "a" of 1 steps with 4 tasks of 1 s is handed in at entry-1
+    When the long-running job "a" of 1 steps with 4 tasks of 1 s is submitted at entry-1
     And 2 s pass
-    And worker-1's machine stops answering
+    And worker-1's VM stops answering
     And 2 s pass
     And messages sent to the scheduler for 1 s arrive late
-    And worker-1 is killed and started anew after 0 s
-    And worker-1's machine answers again
+    And worker-1 is killed and restarted after 0 s
+    And worker-1's VM answers again
     And 2 s pass
     And worker-1 is cut off from the entries and the store for 7 s
     And 2 s pass
     Then 4 tasks run
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
--- a/tests/scheduler/health.feature
+++ b/tests/scheduler/health.feature
@@ -1,24 +1,26 @@
 Feature: Unhealthy workers are blocked
 
   Scenario: A worker fails all its tasks
-    # Guards against a worker that reports itself healthy but costs each task there an attempt.
+    # Guards against a worker that reports itself healthy but costs each task there an
+    # attempt.
     Given two entries and 3 workers for jobs
-    And worker-1's machine fails everything it starts
-    When 9 jobs of 1 task of 1 s are handed in, one a second
+    And worker-1's VM fails everything it starts
+    When 9 jobs of 1 task of 1 s are submitted, one a second
     Then all 9 jobs are completed within 10 s
     And at most 5 tasks were started on worker-1
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: Tasks on a worker make no progress
     # Guards against tasks that neither fail nor end and are never restarted elsewhere.
     Given two entries and 3 workers for jobs
-    And tasks on worker-1's machine stand still
-    When 6 jobs of 1 task of 1 s are handed in, one a second
+    And tasks on worker-1's VM make no progress
+    When 6 jobs of 1 task of 1 s are submitted, one a second
     Then all 6 jobs are completed within 10 s
-    And no task ran twice at a time or after its end
+    And no task ran twice at the same time or after its end
 
   Scenario: A worker begins to fail its tasks
-    # Guards against completions of earlier tasks taken as proof that a failing worker is healthy.
+    # Guards against completions of earlier tasks taken as proof that a failing worker
+    # is healthy.
     Given a healthy worker
     And it started a task of job "a" at second 1
     When a task of job "b" fails there at second 2
@@ -57,13 +59,13 @@
     Then it is not blocked
 
   Scenario: A worker that may still be unhealthy is probed by one task at a time
-    # Guards against all waiting tasks being placed on a worker whose block has just ended.
+    # Guards against placing all waiting tasks on a worker whose block has just ended.
     Given two entries and 2 workers for jobs
-    And worker-1's machine fails everything it starts
-    When the job "a" of 1 steps with 8 tasks of 2 s is handed in at entry-1
-    And the job "b" of 1 steps with 8 tasks of 2 s is handed in at entry-1
-    And the job "c" of 1 steps with 8 tasks of 2 s is handed in at entry-1
-    And the job "d" of 1 steps with 8 tasks of 2 s is handed in at entry-1
+    And worker-1's VM fails everything it starts
+    When the job "a" of 1 steps with 8 tasks of 2 s is submitted at entry-1
+    And the job "b" of 1 steps with 8 tasks of 2 s is submitted at entry-1
+    And the job "c" of 1 steps with 8 tasks of 2 s is submitted at entry-1
+    And the job "d" of 1 steps with 8 tasks of 2 s is submitted at entry-1
     And 8 s pass
     Then at most 11 tasks were started on worker-1
 
@@ -77,9 +79,9 @@
     Then it is not blocked
 
   Scenario: A job that fails on every worker does not block the workers
-    # Guards against healthy workers blocked because of a job that fails on every worker.
+    # Guards against blocking healthy workers because of a job that fails on every one.
     Given two entries and 2 workers for jobs
-    When the failing job "a" of 1 steps with 8 tasks of 1 s is handed in at entry-1
+    When the failing job "a" of 1 steps with 8 tasks of 1 s is submitted at entry-1
     And 2 s pass
-    And the job "b" of 1 steps with 8 tasks of 1 s is handed in at entry-1
+    And the job "b" of 1 steps with 8 tasks of 1 s is submitted at entry-1
     Then the job "b" is "completed" within 3 s
--- a/tests/steps/losses_steps.py
+++ b/tests/steps/losses_steps.py
@@ -34,7 +34,7 @@
 
 @when(
     'the scheduler is killed just before the job "{label}" of 1 task of 1 s is '
-    "handed in"
+    "submitted"
 )
 def kill_scheduler(context, label):
     cell = context.world.cell
--- a/tests/steps/lost_steps.py
+++ b/tests/steps/lost_steps.py
@@ -12,7 +12,7 @@
 from tests.support.job_world import make_steps
 
 
-@when('the VM that runs "{task}" is lost and its attendant lives on')
+@when('the VM that runs "{task}" is lost and its attendant keeps running')
 def lose_vm_only(context, task):
     world = context.world
     name = f"{world.rows()[task].worker}/vm"
@@ -33,7 +33,7 @@
     world.resume(f"{worker}/vm")
 
 
-@then('the task "{task}" runs on for {ms:d} ms')
+@then('the task "{task}" keeps running for {ms:d} ms')
 def check_runs_on(context, task, ms):
     world = context.world
     running = world.cell.observer.running_by_task
@@ -49,7 +49,7 @@
         context.world.kill(name)
 
 
-@when('both entries start anew, and do not reach the attendant beside "{task}"')
+@when('both entries restart, and do not reach the attendant beside "{task}"')
 def restart_entries_cut_off(context, task):
     world = context.world
     worker = world.rows()[task].worker
@@ -66,7 +66,9 @@
     )
 
 
-@when('{count:d} lasting jobs that need the label "{label}" are handed in at {entry}')
+@when(
+    '{count:d} long-running jobs that need the label "{label}" are submitted at {entry}'
+)
 def submit_labelled(context, count, label, entry):
     for number in range(count):
         shape = make_steps(1, 1, 1, requirements=label, longRunning=True)
@@ -75,7 +77,7 @@
 
 
 @when(
-    'the job "{name}" that needs a ticket and the label "{label}" is handed in '
+    'the job "{name}" that needs a ticket and the label "{label}" is submitted '
     "at {entry}"
 )
 def submit_labelled_ticket(context, name, label, entry):
@@ -130,9 +132,9 @@
     worker.sends_heartbeats = True
 
 
-@when("a late notice that {name}'s machine leaves arrives")
+@when("a late notice that {name}'s VM leaves arrives")
 def deregister_late(context, name):
-    """Deliver a deregistration that an earlier life under the same id has sent."""
+    """Deliver a deregistration sent by an earlier incarnation with the same id."""
     world = context.world
     worker = world.cell.worker_by_name[name]
     request = HttpRequest(method="POST", target=f"/v1/instances/i-{name}/deregister")
@@ -145,7 +147,7 @@
     world.run(deregister)
 
 
-@given("{name}'s machine answers polls but never accepts a start")
+@given("{name}'s VM answers polls but never accepts a start")
 def lose_starts(context, name):
     async def never(body):
         await trio.sleep_forever()
@@ -153,7 +155,7 @@
     context.world.cell.worker_by_name[name]._handle_start = never
 
 
-@when('the VM that runs "{task}" starts anew, empty, beside its attendant')
+@when('the VM that runs "{task}" restarts empty, and its attendant keeps running')
 def restart_vm_only(context, task):
     _restart_vm(_stand_in(context.world, task))
 
@@ -178,7 +180,7 @@
     world.wait_until(is_seen)
 
 
-@when("the VMs of {count:d} workers are lost and their attendants live on")
+@when("the VMs of {count:d} workers are lost and their attendants keep running")
 def lose_vms_only(context, count):
     for name in sorted(context.world.cell.worker_by_name)[:count]:
         context.world.kill(f"{name}/vm")
@@ -190,7 +192,7 @@
     worker._renew = lambda query: HttpResponse(status=500, body=b"no renewal")
 
 
-@when('the VM that runs "{task}" answers all but renewals')
+@when('the VM that runs "{task}" answers all requests but renewals')
 def ignore_renewals(context, task):
     worker = _stand_in(context.world, task)
     handle = worker.handle
@@ -203,7 +205,7 @@
     _serve_by(context.world, task, serve)
 
 
-@when('the VM that runs "{task}" takes the next renewal and does not say so')
+@when('the VM that runs "{task}" accepts the next renewal, and its answer is lost')
 def lose_renewal_answer(context, task):
     worker = _stand_in(context.world, task)
     handle = worker.handle
@@ -220,7 +222,7 @@
     _serve_by(context.world, task, serve)
 
 
-@when('a renewal of the VM that runs "{task}" is on its way')
+@when('a renewal of the VM that runs "{task}" is in transit')
 def wait_renewal(context, task):
     context.world.wait_until(lambda: context.renewals)
 
@@ -231,7 +233,7 @@
     world.run(world.cell.start_attendant, world.rows()[task].worker)
 
 
-@when("{name} refuses every renewal, and its attendant is started anew")
+@when("{name} refuses every renewal, and its attendant is restarted")
 def refuse_from_start(context, name):
     world = context.world
     worker = world.cell.worker_stand_in_by_name[name]
@@ -240,13 +242,13 @@
     world.run(world.cell.start_attendant, name)
 
 
-@then("no renewal was for no time")
+@then("every renewal had a positive duration")
 def check_durations(context):
     assert len(context.renewals) > 2, context.renewals
     assert all(float(r["seconds"]) > 0 for r in context.renewals), context.renewals
 
 
-@then("the first attendant renews nothing any more")
+@then("the first attendant sends no more renewals")
 def check_holders(context):
     holders = [renewal["holder"] for renewal in context.renewals]
     later = holders.index(next(h for h in holders if h != holders[0]))
@@ -254,7 +256,7 @@
     assert holders[0] not in holders[later:], holders
 
 
-@when("{name} is cut off from the table, and its VM starts anew just after a renewal")
+@when("{name} is cut off from the table, and its VM restarts just after a renewal")
 def restart_vm_unwritten(context, name):
     world = context.world
     rows = world.cell.table.row_by_key
@@ -271,7 +273,7 @@
 
 
 def _restart_vm(worker):
-    """Clear the VM but not its lease, renewed before its new life is noticed."""
+    """Clear the VM but not its lease, renewed before its restart is noticed."""
     for attempt in worker._list_attempts():
         worker._suspend(attempt)
         worker._lose_result(attempt)
