--- a/coltsfoottray/claims/members.py
+++ b/coltsfoottray/claims/members.py
@@ -144,7 +144,7 @@
         return None if member is None else member.claims
 
     def is_member(self, incarnation: Incarnation) -> bool:
-        """Whether `incarnation` is that of this entry or of another member."""
+        """Return whether `incarnation` is that of this entry or of another member."""
         return incarnation == self.own_row().incarnation or any(
             member.incarnation == incarnation
             for member in self._member_by_entry.values()
@@ -215,7 +215,7 @@
         log_event("claims:joined", members=self.others(), has_memory=has_memory)
 
     async def _has_lease(self) -> bool:
-        """Whether the table holds a lease of this incarnation of the entry."""
+        """Return whether the table holds a lease of this incarnation of the entry."""
         entries = await self._table.scan(ENTRY_PREFIX)
         own = self.own_row().incarnation
         return any(row.decode(EntryRecord).incarnation == own for row in entries)
--- a/coltsfoottray/claims/service.py
+++ b/coltsfoottray/claims/service.py
@@ -130,11 +130,11 @@
         return self._memory.find(request)
 
     def is_own(self, claim: Claim) -> bool:
-        """Whether this incarnation of this entry is the claimant."""
+        """Return whether this incarnation of this entry is the claimant."""
         return claim.incarnation == self._incarnation
 
     def has_claimant_left(self, claim: Claim) -> bool:
-        """Whether the claimant is no longer a member, and so can send nothing."""
+        """Return whether the claimant is no longer a member, so can send nothing."""
         return not self._members.is_member(claim.incarnation)
 
     async def acquire(
@@ -277,7 +277,7 @@
         return ClaimResult(outcome=ClaimOutcome.FOLLOW, claim=rival)
 
     def _must_yield_to(self, rival: Claim) -> bool:
-        """Whether `rival` has priority over this entry's claim.
+        """Return whether `rival` has priority over this entry's claim.
 
         Of incomplete claims, that of the entry with the lowest name has priority.
         The order is total, so exactly one of any number of rivals goes on.
--- a/coltsfoottray/worker/ledger.py
+++ b/coltsfoottray/worker/ledger.py
@@ -68,7 +68,7 @@
         return True
 
     def is_stopped(self, task: TaskId, attempt: int) -> bool:
-        """Whether `attempt` was stopped and can no longer start here."""
+        """Return whether `attempt` was stopped and can no longer start here."""
         return attempt <= self._stopped_attempt_by_task.get(task, -1)
 
     def stop(self, task: TaskId, attempt: int) -> None:
--- a/properties/batch_tasks.py
+++ b/properties/batch_tasks.py
@@ -193,7 +193,7 @@
         assert not +observer.running_by_task, observer.running_by_task
 
     def _are_all_final(self) -> bool:
-        """Whether all tasks are final, including those whose acceptance was lost."""
+        """Return whether all tasks are final, also those whose acceptance was lost."""
         rows = self.world.rows()
         is_complete = self._accepted <= set(rows)
         return is_complete and all(row.state.is_final for row in rows.values())
--- a/properties/jobs.py
+++ b/properties/jobs.py
@@ -311,7 +311,7 @@
         return may_be_cancelled and state == "cancelled"
 
     def _is_service_settled(self, label: str, state: str) -> bool:
-        """Whether all tasks of a service run, or none if it is cancelled."""
+        """Return whether all tasks of a service run, or none if it is cancelled."""
         running = self._running_count(label)
         if state in ("410", "cancelled"):
             assert label in self._cancel_requested, (
@@ -328,7 +328,7 @@
         return sum(task.startswith(job_id(label)) for task in tasks)
 
     def _is_done(self, label: str) -> bool:
-        """Whether each task of a job has succeeded at least once.
+        """Return whether each task of a job has succeeded at least once.
 
         This includes ends that the worker has discarded: it may have reported them.
         """
--- a/properties/permanent_faults.py
+++ b/properties/permanent_faults.py
@@ -38,7 +38,7 @@
         self._cut_links: set[frozenset[str]] = set()
 
     def is_recoverable(self, name: str) -> bool:
-        """Whether an entry or a worker has no permanent fault."""
+        """Return whether an entry or a worker has no permanent fault."""
         return all(name != other for other, _ in self._faults)
 
     def recoverable_entry(self) -> str:
@@ -46,26 +46,26 @@
         return next(filter(self.is_recoverable, self._world.cell.entry_by_name))
 
     def may_fail(self, name: str) -> bool:
-        """Whether another entry, or another worker, is recoverable."""
+        """Return whether another entry, or another worker, is recoverable."""
         cell = self._world.cell
         is_entry = name in cell.entry_by_name
         kind = cell.entry_by_name if is_entry else cell.worker_by_name
         return any(self.is_recoverable(other) for other in kind if other != name)
 
     def is_stopped(self, process: str) -> bool:
-        """Whether a daemon is permanently dead or frozen."""
+        """Return whether a daemon is permanently dead or frozen."""
         return self._has(process, PermanentFault.DEAD) or self._has(
             process, PermanentFault.FROZEN
         )
 
     def is_unresponsive(self, worker: str) -> bool:
-        """Whether a worker permanently answers no requests."""
+        """Return whether a worker permanently answers no requests."""
         return self._has(worker, PermanentFault.GONE) or self._has(
             worker, PermanentFault.SILENT
         )
 
     def is_leaving(self, worker: str) -> bool:
-        """Whether a worker permanently reports that it is draining."""
+        """Return whether a worker permanently reports that it is draining."""
         return self._has(worker, PermanentFault.DRAINING)
 
     def lose_worker(self, worker: str, fault: PermanentFault) -> None:
