--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -59,11 +59,11 @@
 
 _CALLS = 400
 _TASKS = 150
-_IDLE_S = 6.0
+_IDLE_DURATION_S = 6.0
 _OBJECTS = 20_000
 _ATTEMPTS_PER_WORKER = 16
 _PAGE_BYTES = 4096
-_TIMEOUT = timedelta(seconds=10)
+_CALL_TIMEOUT = timedelta(seconds=10)
 _ADDRESS = Address(host="127.0.0.1", port=1)
 
 
@@ -130,7 +130,7 @@
         cell = Cell(deployment=deployment, nursery=nursery, fabric=LoopbackFabric())
         await cell.start()
         await trio.sleep(1)
-        idle = await _measure_idle(_IDLE_S)
+        idle = await _measure_idle(_IDLE_DURATION_S)
         watch = await _measure_watch(cell, nursery, idle)
         claim = await _measure_claim(cell, idle)
         task, rows, commits, reads = await _measure_tasks(cell, idle)
@@ -164,7 +164,7 @@
     address = entry.describe().peers
 
     async def call() -> object:
-        return await client.call(address, WATCH, request, timeout=_TIMEOUT)
+        return await client.call(address, WATCH, request, timeout=_CALL_TIMEOUT)
 
     return await _measure_calls(call, idle)
 
@@ -178,7 +178,7 @@
     )
 
     async def call() -> object:
-        return await client.call(address, CLAIM, request, timeout=_TIMEOUT)
+        return await client.call(address, CLAIM, request, timeout=_CALL_TIMEOUT)
 
     return await _measure_calls(call, idle)
 
--- a/benchmarks/propagation.py
+++ b/benchmarks/propagation.py
@@ -28,7 +28,7 @@
 
 _EDITS = 8
 _TIMEOUT_S = 20.0
-_SLOW_S = 0.3
+_TABLE_DELAY_S = 0.3
 
 
 def _do_nothing(faults: Faults) -> None:
@@ -47,7 +47,9 @@
         await cell.start()
         await trio.sleep(1)
         await _measure_case(cell, "table up", 0.0, _do_nothing)
-        await _measure_case(cell, f"table slow by {_SLOW_S} s", _SLOW_S, _do_nothing)
+        await _measure_case(
+            cell, f"table slow by {_TABLE_DELAY_S} s", _TABLE_DELAY_S, _do_nothing
+        )
         await _measure_case(cell, "table down after acceptance", 0.0, _take_down)
         nursery.cancel_scope.cancel()
 
--- a/coltsfoottray/cli/common.py
+++ b/coltsfoottray/cli/common.py
@@ -16,7 +16,7 @@
 
 __all__ = ["EntryOption", "fail", "parse_entry_address", "send_request"]
 
-_TIMEOUT = timedelta(seconds=10)
+_REQUEST_TIMEOUT = timedelta(seconds=10)
 
 EntryOption = Annotated[
     str, typer.Option("--entry", help="HTTP address of an entry, IP:port.")
@@ -45,7 +45,7 @@
     request = HttpRequest(method=method, target=target, body=body)
 
     async def send() -> HttpResponse:
-        return await HttpClient().send(address, request, timeout=_TIMEOUT)
+        return await HttpClient().send(address, request, timeout=_REQUEST_TIMEOUT)
 
     try:
         response = trio.run(send)
--- a/coltsfoottray/clock.py
+++ b/coltsfoottray/clock.py
@@ -21,13 +21,13 @@
 # Upper bound of the difference in rate between the clocks of two VMs, as a share of
 # the measured duration.
 CLOCK_RATE_MARGIN = 0.1
-_EPOCH = datetime(1970, 1, 1, tzinfo=UTC)
+_UNIX_EPOCH = datetime(1970, 1, 1, tzinfo=UTC)
 _MICROSECOND = timedelta(microseconds=1)
 
 
 def as_microseconds(moment: datetime) -> int:
     """Return `moment` in whole microseconds since 1970-01-01 UTC."""
-    return (moment - _EPOCH) // _MICROSECOND
+    return (moment - _UNIX_EPOCH) // _MICROSECOND
 
 
 def as_milliseconds(moment: datetime) -> int:
--- a/coltsfoottray/entry/metrics.py
+++ b/coltsfoottray/entry/metrics.py
@@ -11,8 +11,8 @@
 
 __all__ = ["LatencyMetrics", "LatencySummary"]
 
-_LOWEST_US = 1
-_HIGHEST_US = 3_600_000_000
+_MIN_US = 1
+_MAX_US = 3_600_000_000
 _SIGNIFICANT_DIGITS = 2
 
 
@@ -34,7 +34,7 @@
         """Record the latency of one request."""
         histogram = self._histogram_by_kind.get(kind)
         if histogram is None:
-            histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _SIGNIFICANT_DIGITS)
+            histogram = HdrHistogram(_MIN_US, _MAX_US, _SIGNIFICANT_DIGITS)
             self._histogram_by_kind[kind] = histogram
         histogram.record_value(max(1, int(duration.total_seconds() * 1_000_000)))
 
--- a/coltsfoottray/leases/partitions.py
+++ b/coltsfoottray/leases/partitions.py
@@ -29,7 +29,7 @@
 # More partitions than entries, so that they spread over the entries; few enough that
 # one scan reads all their rows.
 PARTITION_COUNT = 16
-_PREFIX = "partition/"
+_KEY_PREFIX = "partition/"
 
 
 class _PartitionRow(msgspec.Struct, frozen=True, kw_only=True):
@@ -49,7 +49,7 @@
 
 def partition_key(partition: int) -> str:
     """Return the key of the partition's row."""
-    return f"{_PREFIX}{partition:02d}"
+    return f"{_KEY_PREFIX}{partition:02d}"
 
 
 def rendezvous(key: str, ids: Iterable[str]) -> str:
@@ -108,7 +108,7 @@
 
     async def _try_tick(self) -> None:
         try:
-            rows = await self._table.scan(_PREFIX)
+            rows = await self._table.scan(_KEY_PREFIX)
             row_by_key = {row.key: row for row in rows}
             for partition in range(PARTITION_COUNT):
                 await self._reconcile(
--- a/coltsfoottray/metrics.py
+++ b/coltsfoottray/metrics.py
@@ -20,7 +20,7 @@
 _MAX_US = 3_600_000_000
 _SIGNIFICANT_DIGITS = 2
 _PERCENTILES = (50, 90, 99, 100)
-_PREFIX = "coltsfoottray_"
+_NAME_PREFIX = "coltsfoottray_"
 
 _Labels = tuple[tuple[str, str], ...]
 
@@ -75,23 +75,23 @@
 
         for name, counts in sorted(self._counts.items()):
             names = [label for label, _ in next(iter(counts))]
-            counter = CounterMetricFamily(_PREFIX + name, name, labels=names)
+            counter = CounterMetricFamily(_NAME_PREFIX + name, name, labels=names)
             for labels, value in sorted(counts.items()):
                 counter.add_metric([each for _, each in labels], value)
             yield counter
         for name, levels in sorted(self._gauges.items()):
             names = [label for label, _ in next(iter(levels))]
-            gauge = GaugeMetricFamily(_PREFIX + name, name, labels=names)
+            gauge = GaugeMetricFamily(_NAME_PREFIX + name, name, labels=names)
             for labels, level in sorted(levels.items()):
                 gauge.add_metric([each for _, each in labels], level)
             yield gauge
         for name, by_labels in sorted(self._histograms.items()):
             names = [label for label, _ in next(iter(by_labels))]
             seconds = GaugeMetricFamily(
-                f"{_PREFIX}{name}_seconds", name, labels=[*names, "quantile"]
+                f"{_NAME_PREFIX}{name}_seconds", name, labels=[*names, "quantile"]
             )
             counter = CounterMetricFamily(
-                f"{_PREFIX}{name}_seconds_count", name, labels=names
+                f"{_NAME_PREFIX}{name}_seconds_count", name, labels=names
             )
             for labels, histogram in sorted(by_labels.items()):
                 values = [each for _, each in labels]
--- a/coltsfoottray/placement/tightest_fit.py
+++ b/coltsfoottray/placement/tightest_fit.py
@@ -20,7 +20,7 @@
 SLOWDOWN_WEIGHT = 4.0
 # The cost of each other task in the rack, on the same scale.
 RACK_WEIGHT = 0.02
-_SMOOTHING_FACTOR = 0.2
+_SLOWDOWN_SMOOTHING_FACTOR = 0.2
 _MAX_RUNNERS_UP = 3
 
 
@@ -59,7 +59,7 @@
         for other in set(colocated):
             pair = frozenset((kind, other))
             previous = self._slowdown_by_pair.get(pair, 0.0)
-            self._slowdown_by_pair[pair] = previous + _SMOOTHING_FACTOR * (
+            self._slowdown_by_pair[pair] = previous + _SLOWDOWN_SMOOTHING_FACTOR * (
                 excess - previous
             )
 
--- a/coltsfoottray/tasks/owner.py
+++ b/coltsfoottray/tasks/owner.py
@@ -28,7 +28,7 @@
 
 # Notifications make changes known at once; this bounds the delay if one is lost.
 RELOAD_INTERVAL = timedelta(seconds=10)
-_TICK = timedelta(milliseconds=250)
+_MAX_PASS_INTERVAL = timedelta(milliseconds=250)
 _MIN_WAKE_INTERVAL = timedelta(milliseconds=100)
 # Reports are delayed anyway, and do not change until the next announcement.
 _SLOWDOWN_REPORT_INTERVAL = timedelta(seconds=2)
@@ -200,7 +200,7 @@
         An empty partition waits until one of its rows changes or a reload is due.
         """
         if owned.task_by_id:
-            with trio.move_on_after(_TICK.total_seconds()):
+            with trio.move_on_after(_MAX_PASS_INTERVAL.total_seconds()):
                 await self._wake.wait()
         else:
             with trio.move_on_after(RELOAD_INTERVAL.total_seconds()):
--- a/coltsfoottray/upstream/attendant.py
+++ b/coltsfoottray/upstream/attendant.py
@@ -25,7 +25,7 @@
 __all__ = ["UpstreamAttendant"]
 
 # Weight of the latest service time in the exponentially weighted average.
-_SMOOTHING_FACTOR = 0.2
+_SERVICE_TIME_SMOOTHING_FACTOR = 0.2
 _DRAIN_POLL_INTERVAL = timedelta(milliseconds=50)
 
 
@@ -229,7 +229,7 @@
     def _record_service_time(self, kind: Kind, duration: timedelta) -> None:
         seconds = duration.total_seconds()
         previous = self._service_s_by_kind.get(kind, seconds)
-        self._service_s_by_kind[kind] = previous + _SMOOTHING_FACTOR * (
+        self._service_s_by_kind[kind] = previous + _SERVICE_TIME_SMOOTHING_FACTOR * (
             seconds - previous
         )
 
--- a/properties/planted.py
+++ b/properties/planted.py
@@ -40,7 +40,7 @@
 ]
 
 # The longest lease that a scheduler grants a worker.
-_LEASE = timedelta(seconds=7)
+_MAX_LEASE = timedelta(seconds=7)
 
 
 @contextmanager
@@ -157,7 +157,7 @@
         reply = original(self, report)
         if not report.is_reachable or not report.life:
             worker = self._fleet.worker_by_id[report.worker]
-            lease_end = self._clock.elapsed() + _LEASE
+            lease_end = self._clock.elapsed() + _MAX_LEASE
             worker.lease_end = max(worker.lease_end, lease_end)
         return reply
 
--- a/standins/advice.py
+++ b/standins/advice.py
@@ -14,7 +14,7 @@
 
 VALIDITY_S = 3.0
 _DECISION_S = 0.1
-_PER_WORKER_S = 0.02
+_DECISION_PER_WORKER_S = 0.02
 
 
 @dataclass(kw_only=True)
@@ -52,7 +52,7 @@
     async def _answer(self, body: dict[str, Any]) -> HttpResponse:
         self.request_count += 1
         job = body["step"].split(".")[0]
-        await trio.sleep(_DECISION_S + _PER_WORKER_S * len(body["workers"]))
+        await trio.sleep(_DECISION_S + _DECISION_PER_WORKER_S * len(body["workers"]))
         rows = []
         for worker in body["workers"]:
             if worker not in self.allowed_workers or job in self.denied_jobs:
