--- a/coltsfoottray/daemons/job_entry.py
+++ b/coltsfoottray/daemons/job_entry.py
@@ -46,13 +46,13 @@
 _BACKGROUND = ServiceName("background")
 
 # Entries notify the scheduler of jobs directly. This interval therefore bounds only
-# how old the answers of other entries are, and how late a change without a
+# how old the responses of other entries are, and how late a change without a
 # notification arrives.
 _JOBS_POLL_INTERVAL = timedelta(milliseconds=300)
 # A configuration must be in force within seconds of its confirmation.
 _CONFIG_POLL_INTERVAL = timedelta(milliseconds=100)
 
-# With older copies of the rows, answers to callers may be wrong, so the entry is not
+# With older copies of the rows, responses to callers may be wrong, so the entry is not
 # ready.
 _MAX_COPY_AGE = timedelta(seconds=4)
 
--- a/coltsfoottray/daemons/upstream.py
+++ b/coltsfoottray/daemons/upstream.py
@@ -36,7 +36,7 @@
             ledger=ExecutionLedger(
                 clock=self.clock,
                 retention=settings.timing.retention,
-                max_answer_bytes=int(settings.answer_mb * _MB),
+                max_response_bytes=int(settings.answer_mb * _MB),
             ),
             limiter=ConcurrencyLimiter(
                 slots=settings.slots, connections=settings.connections
--- a/coltsfoottray/entry/callers.py
+++ b/coltsfoottray/entry/callers.py
@@ -56,7 +56,7 @@
 
 
 class CallerApi:
-    """Admits callers' requests and returns their final answers.
+    """Admits callers' requests and returns their final responses.
 
     Parameters
     ----------
--- a/coltsfoottray/entry/metrics.py
+++ b/coltsfoottray/entry/metrics.py
@@ -25,7 +25,7 @@
 
 
 class LatencyMetrics:
-    """Records the time from the arrival of a request to its final answer."""
+    """Records the time from the arrival of a request to its final response."""
 
     def __init__(self) -> None:
         self._histogram_by_kind: dict[Kind, HdrHistogram] = {}
--- a/coltsfoottray/leases/worker.py
+++ b/coltsfoottray/leases/worker.py
@@ -185,7 +185,7 @@
     async def _read_row(self, boot: str) -> bool:
         """Read the row; return whether this attendant may write it.
 
-        After a lost answer, reading the row shows whether the renewal took effect.
+        After a lost response, reading the row shows whether the renewal took effect.
         """
         row = await self._table.get(worker_key(self._row.worker))
         if row is None:
--- a/coltsfoottray/lists/editor.py
+++ b/coltsfoottray/lists/editor.py
@@ -64,7 +64,7 @@
         InputError
             If the edit is malformed; nothing is written.
         TableUnavailable
-            If the table gives no answer. With `is_unwritten` the edit was not
+            If the table does not answer. With `is_unwritten` the edit was not
             accepted. Otherwise the outcome is unknown; the operator learns it
             by sending the same edit with the same token again.
         """
@@ -96,9 +96,9 @@
         try:
             outcome = await self._table.commit(transaction)
         except TableUnavailable as error:
-            # The answer can be lost after the write took effect. Comparing the
-            # token of the row at that version tells success from failure, and
-            # never applies the edit twice.
+            # The response can be lost after the write took effect. Comparing the
+            # token of the row at that version distinguishes success from failure
+            # and never applies the edit twice.
             if not error.is_unwritten:
                 accepted = await self._find_accepted(edit)
                 if accepted is not None:
--- a/coltsfoottray/peers/relay.py
+++ b/coltsfoottray/peers/relay.py
@@ -165,7 +165,7 @@
         response has started, the relayed request is cancelled: its response would
         arrive over the same link and delay both.
         """
-        answers: list[HttpResponse] = []
+        responses: list[HttpResponse] = []
         errors: list[CommunicationError] = []
 
         async def collect(send: Callable[[], Awaitable[HttpResponse | None]]) -> None:
@@ -176,7 +176,7 @@
                 return
             if response is None:
                 return
-            answers.append(response)
+            responses.append(response)
             if response.status not in _REJECTED_STATUSES:
                 nursery.cancel_scope.cancel()
 
@@ -200,8 +200,8 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(collect, send_direct)
             nursery.start_soon(send_relayed)
-        if answers:
-            return answers[-1]
+        if responses:
+            return responses[-1]
         self._start_relaying(str(errors[0]))
         raise errors[0]
 
--- a/coltsfoottray/requests/__init__.py
+++ b/coltsfoottray/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Handling of callers' requests at an entry, from admission to the final answer."""
+"""Handling of callers' requests at an entry, from admission to the final response."""
 
 from __future__ import annotations
 
--- a/coltsfoottray/requests/claim_follower.py
+++ b/coltsfoottray/requests/claim_follower.py
@@ -49,7 +49,7 @@
         self, request: RequestId, claim: Claim, *, deadline: timedelta
     ) -> FollowResult:
         """Return the outcome of `claim`, waiting until `deadline` (monotonic)."""
-        reason = "no answer"
+        reason = "no reply"
         while True:
             remaining = deadline - self._clock.elapsed()
             if remaining <= timedelta(0):
--- a/coltsfoottray/requests/dispatcher.py
+++ b/coltsfoottray/requests/dispatcher.py
@@ -75,11 +75,11 @@
 
 
 class Dispatcher:
-    """Routes requests and determines the final answer to each.
+    """Routes requests and determines the final response to each.
 
     A request is sent to another place only after proof that the previous place
     did not and will not run it. Without that proof the caller receives "outcome
-    unknown", so the answer "not run" is always true.
+    unknown", so the response "not run" is always true.
     """
 
     def __init__(
@@ -106,7 +106,7 @@
         self._clock = clock
 
     async def dispatch(self, request: CallerRequest) -> HttpResponse:
-        """Return the final answer to `request`."""
+        """Return the final response to `request`."""
         if not request.is_keyed:
             result = await self._try_places(request, void_claim=None)
             assert isinstance(result, HttpResponse)
@@ -125,7 +125,7 @@
     async def _wait_for_pending(
         self, request: CallerRequest, existing: _Pending
     ) -> HttpResponse:
-        """Wait for the answer to a pending request with the same key."""
+        """Wait for the response to a pending request with the same key."""
         with trio.move_on_after(self._remaining(request).total_seconds()):
             await existing.done.wait()
         if existing.response is None:
@@ -172,7 +172,7 @@
         Returns
         -------
         HttpResponse or Claim
-            The final answer, or the claim to follow if another entry was first.
+            The final response, or the claim to follow if another entry was first.
         """
         tried: set[Place] = set()
         reason = "no upstream instance accepts new requests"
@@ -248,8 +248,8 @@
             body=request.body,
         )
         try:
-            # After PROBE_AFTER the answer is fetched over a new connection, because
-            # a connection that has gone silent raises no error.
+            # After PROBE_AFTER the reply is fetched over a new connection, because a
+            # connection on which nothing arrives any more raises no error.
             return await self._attendants.run(
                 place, message, timeout=min(remaining, PROBE_AFTER)
             )
@@ -261,16 +261,16 @@
     async def _resolve(
         self, place: Place, request: CallerRequest, attempt: int
     ) -> RunReply:
-        """Determine the outcome of a request that has not been answered.
+        """Determine the outcome of a request that got no reply.
 
         A request that waits for a slot or runs stays where it is. If the
         attendant does not know the request, its message may still arrive, so the
-        attendant is told to cancel the id unless it has started. Then either it
-        never starts, which proves that it was not run, or its answer is fetched.
+        attendant is asked to cancel the id unless it has started. Then either it
+        never starts, which proves that it was not run, or its reply is fetched.
         The same cancellation is sent at the deadline, so that a request still
         waiting for a slot can be refused as not run.
         """
-        reply = RunReply(outcome=RunOutcome.UNKNOWN, reason="no answer")
+        reply = RunReply(outcome=RunOutcome.UNKNOWN, reason="no reply")
         while self._remaining(request) > timedelta(0):
             try:
                 reply = await self._attendants.fetch(
--- a/coltsfoottray/requests/messages.py
+++ b/coltsfoottray/requests/messages.py
@@ -108,7 +108,7 @@
     Parameters
     ----------
     reason : str
-        Why there is no answer, if the outcome is not `ANSWERED`.
+        Why there is no response, if the outcome is not `ANSWERED`.
     is_final : bool
         Whether any other place would refuse for the same reason.
     lists_version : ListVersion
--- a/coltsfoottray/tasks/store.py
+++ b/coltsfoottray/tasks/store.py
@@ -53,7 +53,7 @@
         Raises
         ------
         TableUnavailable
-            If the table gives no answer; with `is_unwritten` the task was not
+            If the table does not answer; with `is_unwritten` the task was not
             accepted.
         """
         row = TaskRow(
--- a/coltsfoottray/tasks/supervisor.py
+++ b/coltsfoottray/tasks/supervisor.py
@@ -172,7 +172,7 @@
             result = await self._objects.read(result_name(task, attempt))
             has_checkpoint = await self._objects.has(name)
         except CommunicationError as error:
-            # Without an answer, an end or a checkpoint could be missed and the
+            # Without a response, an end or a checkpoint could be missed and the
             # work be repeated. The next pass tries again.
             log_event("tasks:not-requeued", task=task, error=str(error))
             return
--- a/coltsfoottray/upstream/attendant.py
+++ b/coltsfoottray/upstream/attendant.py
@@ -164,8 +164,8 @@
     ) -> RunReply:
         """Run an execution that holds a connection.
 
-        The call to the upstream is shielded from cancellation, so that the answer is
-        kept for a later fetch even if the connection to the entry is lost.
+        The call to the upstream is shielded from cancellation, so that the response
+        is kept for a later fetch even if the connection to the entry is lost.
         """
         try:
             if not await self._wait_for_slot(request, execution):
@@ -208,13 +208,13 @@
         )
         with trio.CancelScope(shield=True):
             try:
-                answer = await self._transport.send(self._upstream, message)
+                response = await self._transport.send(self._upstream, message)
             except CommunicationError as error:
                 log_event("upstream:broken", request=request.request, error=str(error))
                 self._record_upstream_failure(execution, error)
                 return
         self._record_service_time(request.kind, self._clock.elapsed() - started_at)
-        self._ledger.finish(execution, answer)
+        self._ledger.finish(execution, response)
 
     def _record_upstream_failure(
         self, execution: Execution, error: CommunicationError
@@ -242,12 +242,12 @@
     state = execution.state
     if state is ExecutionState.TOMBSTONED:
         return _not_run("cancelled before it started")
-    if state is ExecutionState.ANSWERED and execution.answer is not None:
-        return RunReply(outcome=RunOutcome.ANSWERED, response=execution.answer)
+    if state is ExecutionState.ANSWERED and execution.response is not None:
+        return RunReply(outcome=RunOutcome.ANSWERED, response=execution.response)
     if state is ExecutionState.ANSWERED:
         return RunReply(
             outcome=RunOutcome.UNKNOWN,
-            reason="the request ran, but its answer was dropped",
+            reason="the request ran, but its response was dropped",
         )
     if state is ExecutionState.UNKNOWN:
         return RunReply(
--- a/coltsfoottray/upstream/ledger.py
+++ b/coltsfoottray/upstream/ledger.py
@@ -41,8 +41,8 @@
         that was cancelled.
     changed_at : timedelta
         When the execution was added or ended, by the attendant's clock.
-    answer : HttpResponse, optional
-        The complete answer, unless it has been dropped to save memory.
+    response : HttpResponse, optional
+        The complete response, unless it has been dropped to save memory.
     ended : trio.Event
         Set once the state is final.
     """
@@ -51,7 +51,7 @@
     attempt: int
     state: ExecutionState
     changed_at: timedelta
-    answer: HttpResponse | None = None
+    response: HttpResponse | None = None
     ended: trio.Event = field(default_factory=trio.Event)
 
     @property
@@ -66,20 +66,20 @@
     Parameters
     ----------
     retention : timedelta
-        How long the id and answer of an ended execution are kept. A request that
+        How long the id and response of an ended execution are kept. A request that
         is repeated later than this is treated as new.
-    max_answer_bytes : int
-        Maximum total size of the stored answer bodies. Beyond it the oldest answers
-        are dropped while their ids stay: such a request still never starts again,
-        but its answer is no longer available.
+    max_response_bytes : int
+        Maximum total size of the stored response bodies. Beyond it the oldest
+        responses are dropped while their ids stay: such a request still never
+        starts again, but its response is no longer available.
     """
 
     def __init__(
-        self, *, clock: Clock, retention: timedelta, max_answer_bytes: int
+        self, *, clock: Clock, retention: timedelta, max_response_bytes: int
     ) -> None:
         self._clock = clock
         self._retention = retention
-        self._max_answer_bytes = max_answer_bytes
+        self._max_response_bytes = max_response_bytes
         self._stored_bytes = 0
         self._execution_by_id: dict[RequestId, Execution] = {}
 
@@ -114,15 +114,15 @@
         execution.state = ExecutionState.RUNNING
         return True
 
-    def finish(self, execution: Execution, answer: HttpResponse | None) -> None:
-        """Record the complete answer, or None if the outcome is unknown."""
-        execution.answer = answer
-        if answer is None:
+    def finish(self, execution: Execution, response: HttpResponse | None) -> None:
+        """Record the complete response, or None if the outcome is unknown."""
+        execution.response = response
+        if response is None:
             self._end(execution, ExecutionState.UNKNOWN)
             return
-        self._stored_bytes += len(answer.body)
+        self._stored_bytes += len(response.body)
         self._end(execution, ExecutionState.ANSWERED)
-        self._drop_oldest_answers()
+        self._drop_oldest_responses()
 
     def tombstone(self, request: RequestId, attempt: int) -> Execution:
         """Cancel `request` unless it has started.
@@ -166,18 +166,18 @@
             first = next(iter(self._execution_by_id.values()))
             if not first.has_ended or first.changed_at > oldest:
                 return
-            self._drop_answer(first)
+            self._drop_response(first)
             del self._execution_by_id[first.request]
 
-    def _drop_oldest_answers(self) -> None:
-        if self._stored_bytes <= self._max_answer_bytes:
+    def _drop_oldest_responses(self) -> None:
+        if self._stored_bytes <= self._max_response_bytes:
             return
         for execution in self._execution_by_id.values():
-            self._drop_answer(execution)
-            if self._stored_bytes <= self._max_answer_bytes:
+            self._drop_response(execution)
+            if self._stored_bytes <= self._max_response_bytes:
                 return
 
-    def _drop_answer(self, execution: Execution) -> None:
-        if execution.answer is not None:
-            self._stored_bytes -= len(execution.answer.body)
-            execution.answer = None
+    def _drop_response(self, execution: Execution) -> None:
+        if execution.response is not None:
+            self._stored_bytes -= len(execution.response.body)
+            execution.response = None
--- a/properties/jobs.py
+++ b/properties/jobs.py
@@ -188,7 +188,7 @@
 
     @rule(worker=WORKERS)
     def lose_start_answer(self, worker: str) -> None:
-        """The next start order is carried out, but its reply is lost."""
+        """The next start order is carried out, but its response is lost."""
         self.world.cell.worker_by_name[worker].unanswered_starts = 1
 
     @rule(is_down=st.booleans())
@@ -198,7 +198,7 @@
 
     @rule(count=st.sampled_from([1, 2, 8]))
     def lose_write_answers(self, count: int) -> None:
-        """The next writes take effect, but their replies are lost."""
+        """The next writes take effect, but their responses are lost."""
         self.world.cell.metadata_table.faults.lost_answers = count
 
     @rule()
--- a/properties/keyed_requests.py
+++ b/properties/keyed_requests.py
@@ -129,7 +129,7 @@
 
     @rule()
     def lose_table_answer(self) -> None:
-        """The next write takes effect, but its reply is lost."""
+        """The next write takes effect, but its response is lost."""
         self.world.cell.table.faults.lost_answers = 1
 
     @invariant()
--- a/properties/list_edits.py
+++ b/properties/list_edits.py
@@ -71,7 +71,7 @@
 
     @rule()
     def lose_answer(self) -> None:
-        """The next write takes effect, but its reply is lost."""
+        """The next write takes effect, but its response is lost."""
         self.table.faults.lost_answers = 1
 
     @invariant()
--- a/properties/planted.py
+++ b/properties/planted.py
@@ -69,7 +69,7 @@
 
     def tombstone(self: ExecutionLedger, request: Any, attempt: int) -> Any:
         execution = original(self, request, attempt)
-        if not execution.answer and execution.ended.is_set():
+        if not execution.response and execution.ended.is_set():
             self._execution_by_id.pop(request, None)
         return execution
 
@@ -182,6 +182,6 @@
 
 @contextmanager
 def answers_given_up_on_their_way() -> Iterator[None]:
-    """Apply the time-out for the start of an answer to the whole answer."""
+    """Apply the time-out for the start of a response to the whole response."""
     with mock.patch.object(links, "extend_deadline", lambda limit: None):
         yield
--- a/standins/advice.py
+++ b/standins/advice.py
@@ -60,8 +60,8 @@
             ticket = f"{body['step']}@{worker}#{self.request_count}"
             self.expiry_by_ticket[ticket] = trio.current_time() + VALIDITY_S
             rows.append([worker, ticket])
-        answer = {"allowed": rows, "validityMs": VALIDITY_S * 1000}
-        return HttpResponse.of_json(answer)
+        response_body = {"allowed": rows, "validityMs": VALIDITY_S * 1000}
+        return HttpResponse.of_json(response_body)
 
     def is_valid(self, ticket: str, step: str, worker: str) -> bool:
         """Return whether `ticket` allows a task of `step` to start on `worker` now."""
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -20,7 +20,7 @@
     delay_s : float
         Delay in seconds before a call has any effect.
     lost_answers : int
-        Number of writes that will take effect and get no answer.
+        Number of writes that will take effect and get no response.
     """
 
     is_down: bool = False
@@ -34,7 +34,7 @@
         return not self.is_down
 
     async def after_write(self) -> None:
-        """Block for ever if the answer is to be lost."""
+        """Block indefinitely if the response is to be lost."""
         if self.lost_answers > 0:
             self.lost_answers -= 1
             await trio.sleep_forever()
--- a/standins/job_worker.py
+++ b/standins/job_worker.py
@@ -198,7 +198,7 @@
             await trio.sleep_forever()
         response = await self._dispatch(request)
         if self.is_destroyed:
-            # Requests that arrived before the destruction get no answer either.
+            # Requests that arrived before the destruction get no response either.
             await trio.sleep_forever()
         return response
 
--- a/standins/links.py
+++ b/standins/links.py
@@ -10,20 +10,20 @@
 
 __all__ = ["AccessLink"]
 
-# Concurrent answers on one link take turns after each chunk of this size.
+# Concurrent responses on one link take turns after each chunk of this size.
 _CHUNK_BYTES = 1500
 
 
 @dataclass(kw_only=True)
 class AccessLink:
-    """Carries answers to one process.
+    """Carries responses to one process.
 
     Parameters
     ----------
     bytes_per_s : float, optional
         Bandwidth; unlimited if None.
     received_bytes : int
-        Bytes received, including those of answers whose transfer was abandoned.
+        Bytes received, including those of responses whose transfer was abandoned.
     """
 
     bytes_per_s: float | None = None
--- a/standins/metadata_table.py
+++ b/standins/metadata_table.py
@@ -59,7 +59,7 @@
     Parameters
     ----------
     late_writes : int
-        Number of transactions that will get no answer and be applied only after
+        Number of transactions that will get no response and be applied only after
         `WRITE_DELAY_S`, if their conditions still hold.
     failed_reads_by_table : dict
         By table, the number of reads that will fail as unavailable.
--- a/standins/player.py
+++ b/standins/player.py
@@ -122,17 +122,17 @@
         if response.status == 200:
             elapsed_ms = (trio.current_time() - started_at) * 1000
             self._latencies_by_kind[event.kind].append(elapsed_ms)
-            self._check_answer(event, key, response)
+            self._check_response(event, key, response)
         elif response.status in (403, 503) and event.retry_of is None:
             ran = self._cell.observer.runs_by_request[f"{event.customer}/{key}"]
             self._false_refusals += ran > 0
 
-    def _check_answer(
+    def _check_response(
         self, event: RequestEvent, key: str, response: HttpResponse
     ) -> None:
         expected = f"answer to {event.customer}/{key}: "
         if not response.body.startswith(expected.encode()):
-            self._report_progress(f"request {event.id}: got another request's answer")
+            self._report_progress(f"request {event.id}: got another request's response")
             self._cell.observer.doubled.add(event.id)
 
     async def _submit_task(self, event: TaskEvent) -> None:
@@ -177,8 +177,10 @@
             token=f"trace-{event.at}-{lists.version}",
         )
         body = msgspec.json.encode(edit)
-        answer = await self._send_until_certain("POST", "/lists", "operator", body)
-        status = None if answer is None else answer.status
+        edit_response = await self._send_until_certain(
+            "POST", "/lists", "operator", body
+        )
+        status = None if edit_response is None else edit_response.status
         self._report_progress(
             f"edit of {event.list.value} {event.change}: status {status}"
         )
