--- a/coltsfoottray/claims/members.py
+++ b/coltsfoottray/claims/members.py
@@ -66,9 +66,9 @@
 
     If all members are lost at once, so are the claims that only they hold. The
     next entry that joins finds a row whose member does not answer. It is in
-    quarantine for as long as those members may go on serving if they are only
-    cut off, and then for the retention time: for a key that it does not know it
-    answers that the outcome is unknown, because the request may have run.
+    quarantine for as long as those members may continue to serve if they are only
+    cut off, and then for the retention time: for a key that it does not know, it
+    reports the outcome as unknown, because the request may have run.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         self.row_version = ABSENT
 
     def add_handlers(self, handlers: CallHandlers) -> None:
-        """Answer other entries' calls."""
+        """Register the handlers of other entries' calls."""
         handlers.add(SYNC, self.handle_sync)
 
     async def run(  # noqa: D102
@@ -123,8 +123,8 @@
         """Whether the entry has read its own row in the table recently enough.
 
         An entry that is cut off from the table cannot know whether it was removed
-        and others serve the same keys. It goes on for `outage_grace`; an entry
-        that joins and reaches no member waits for longer than that.
+        and others serve the same keys. It continues to serve for `outage_grace`; an
+        entry that joins and reaches no member waits for longer than that.
         """
         return self._clock.elapsed() - self._confirmed_at < self._outage_grace
 
@@ -168,7 +168,7 @@
         self._expiry_by_key[key] = _Expiry(version=version, expires_at=expires_at)
 
     async def handle_sync(self, request: SyncRequest) -> SyncReply:
-        """Answer `SYNC`: consult the new member from now on, and return all claims."""
+        """Handle `SYNC`: consult the new member from now on, and return all claims."""
         self._member_by_entry[request.member.entry] = request.member
         remaining = timedelta(0)
         if self._quarantine_until is not None:
--- a/coltsfoottray/claims/service.py
+++ b/coltsfoottray/claims/service.py
@@ -75,7 +75,7 @@
     recorded by every other member, of which there is at least one, or written
     to the table on condition that this entry is still a member. Two entries can
     therefore never both send the same key, and after a crash another member or
-    the table still knows where the request was sent.
+    the table still records where the request was sent.
     """
 
     def __init__(
@@ -101,7 +101,7 @@
         self._nursery: trio.Nursery | None = None
 
     def add_handlers(self, handlers: CallHandlers) -> None:
-        """Answer other entries' calls."""
+        """Register the handlers of other entries' calls."""
         handlers.add(CLAIM, self.handle_claim)
         handlers.add(RELEASE, self.handle_release)
 
@@ -114,14 +114,14 @@
             await trio.sleep_forever()
 
     async def handle_claim(self, request: ClaimRequest) -> ClaimReply:
-        """Answer `CLAIM`: decide on each proposal."""
+        """Handle `CLAIM`: decide on each proposal."""
         if not self._members.is_member(request.incarnation):
             refusal = ClaimVerdict(verdict=Verdict.NOT_MEMBER)
             return ClaimReply(verdicts=[refusal for _ in request.proposals])
         return ClaimReply(verdicts=[self._decide(p) for p in request.proposals])
 
     async def handle_release(self, request: ReleaseRequest) -> ReleaseReply:
-        """Answer `RELEASE`: remove the claim."""
+        """Handle `RELEASE`: remove the claim."""
         self._memory.remove(request.request, request.incarnation)
         return ReleaseReply()
 
@@ -191,8 +191,8 @@
             try:
                 await self._peers.call(address, RELEASE, message, timeout=CLAIM_TIMEOUT)
             except CommunicationError as error:
-                # An entry that is sent this key next asks this entry for consent,
-                # and learns then that the claim was released.
+                # An entry that next receives this key asks this entry for consent,
+                # and its verdict then shows that the claim was released.
                 log_event("claims:not-released", entry=entry, error=str(error))
 
     def _next_attempt(self, held: Claim | None) -> int:
@@ -280,7 +280,7 @@
         """Return whether `rival` has priority over this entry's claim.
 
         Of incomplete claims, that of the entry with the lowest name has priority.
-        The order is total, so exactly one of any number of rivals goes on.
+        The order is total, so exactly one of any number of rivals continues.
         """
         return (
             rival.is_complete
--- a/coltsfoottray/explain/history.py
+++ b/coltsfoottray/explain/history.py
@@ -87,12 +87,12 @@
 
 @dataclass(kw_only=True)
 class JobHistory:
-    """What the log lines say about one job.
+    """The history of one job, as far as the log lines record it.
 
     Parameters
     ----------
     accepted_at, ended_at : datetime, optional
-        None if no line says when.
+        None if no line records the time.
     """
 
     id: str
--- a/coltsfoottray/explain/losses.py
+++ b/coltsfoottray/explain/losses.py
@@ -186,7 +186,7 @@
 ) -> Iterator[_Segment]:
     """Yield the segments of a task, from `ready`, when its step may start."""
     waits = job.waits_by_step.get(key[:2], [])
-    # The log does not say when a later occurrence was due.
+    # The log does not record when a later occurrence was due.
     default = Part.UNKNOWN if key[0] else Part.SCHEDULER
     at = ready
     for attempt in job.attempts_by_task.get(key, []):
--- a/coltsfoottray/leases/worker.py
+++ b/coltsfoottray/leases/worker.py
@@ -122,7 +122,7 @@
         task_status.started()
         while True:
             # Retry sooner after a failure. After an outage or a short silence, a
-            # renewal delayed by an interval and a time-out would come too late.
+            # renewal delayed by an interval and a time-out would be too late.
             await self._clock.sleep(self._lease / (3 if is_renewed else 10))
             is_renewed = await self._try_renew()
 
@@ -139,7 +139,7 @@
     async def _renew(self) -> bool:
         """Renew the row, then the worker's own lease; return whether both succeeded."""
         # Ask the worker first. If the row were renewed for a worker that answers
-        # nobody, it would never lapse, and its tasks would never run elsewhere.
+        # no calls, it would never lapse, and its tasks would never run elsewhere.
         boot = (await self._control.describe()).boot
         if self._version is None or not self._is_accepted:
             if not await self._read_row(boot):
@@ -225,5 +225,5 @@
         )
         # No row grants the term yet, so no task may be accepted in it. A restarted
         # attendant would begin the same term again and stop the task permanently,
-        # but the task would stay bound to this worker for ever.
+        # but the task would stay bound to this worker permanently.
         self._row_valid_until = self._valid_until = self._clock.elapsed()
--- a/coltsfoottray/logs.py
+++ b/coltsfoottray/logs.py
@@ -39,7 +39,7 @@
     file: str | None = None,
     default: IO[Any] | None = None,
 ) -> None:
-    """Start logging as `settings` say; `level` and `file` override them.
+    """Start logging according to `settings`; `level` and `file` override them.
 
     Without a file, lines go to `default`, which is standard error if not given.
     """
--- a/coltsfoottray/membership/announcer.py
+++ b/coltsfoottray/membership/announcer.py
@@ -33,7 +33,7 @@
         Returns the daemon's current announcement.
     hold : timedelta
         How long an entry may hold the call without newer lists. It bounds the
-        time to detect that a connection has gone silent.
+        time to detect a connection that delivers nothing any more.
     skip : EntryId, optional
         The daemon's own id, if it is itself an entry.
     """
--- a/coltsfoottray/membership/registry.py
+++ b/coltsfoottray/membership/registry.py
@@ -32,7 +32,7 @@
     ----------
     silence : timedelta
         Time without an announcement after which a daemon no longer counts as
-        present. This also covers a daemon whose connection has gone silent,
+        present. This also covers a daemon whose connection delivers nothing,
         because its next announcement must arrive over a new connection.
     """
 
@@ -52,7 +52,7 @@
         self._changed = trio.Event()
 
     async def handle_watch(self, request: WatchRequest) -> WatchReply:
-        """Answer `WATCH`: apply the announcement, then wait for newer lists."""
+        """Handle `WATCH`: apply the announcement, then wait for newer lists."""
         self.update(request.announcement, request.lists_version)
         lists = None
         with trio.move_on_after(request.hold_s):
@@ -65,7 +65,7 @@
         """Apply `announcement`, unless it is of an earlier incarnation.
 
         A message of an earlier incarnation can arrive after those of the restarted
-        process; the order of incarnations tells them apart.
+        process; the order of incarnations distinguishes them.
         """
         known = self._member_by_id.get(announcement.daemon)
         if known is not None:
--- a/coltsfoottray/worker/attendant.py
+++ b/coltsfoottray/worker/attendant.py
@@ -49,7 +49,7 @@
 
 
 class WorkerAttendant(Service):
-    """Answers the calls of task owners and reports the attempts on its worker.
+    """Handles the calls of task owners and reports the attempts on its worker.
 
     Parameters
     ----------
@@ -152,7 +152,7 @@
         """Return why the attempt may not start, None if the table assigns it here.
 
         If a reservation exists, the owner has just made it. Otherwise the request may
-        come from an owner that has lost the table, for a task that has ended under
+        be from an owner that cannot reach the table, for a task that has ended under
         another owner and whose record was dropped here.
         """
         task = request.spec.task
--- a/properties/configs.py
+++ b/properties/configs.py
@@ -1,6 +1,6 @@
 """Configs under cuts, slow links, outages, pauses and restarts.
 
-The latest config that the operator wrote comes into force at each entry soon after the
+The latest config that the operator wrote takes effect at each entry soon after the
 last fault, and no entry returns to an older config.
 """
 
@@ -98,7 +98,7 @@
 
     @rule(is_down=st.booleans())
     def store(self, is_down: bool) -> None:
-        """The store goes down or comes back."""
+        """The store becomes unavailable or available again."""
         self.world.cell.metadata_table.faults.is_down = is_down
 
     @rule()
--- a/properties/jobs.py
+++ b/properties/jobs.py
@@ -193,7 +193,7 @@
 
     @rule(is_down=st.booleans())
     def store(self, is_down: bool) -> None:
-        """The store goes down or comes back."""
+        """The store becomes unavailable or available again."""
         self.world.cell.metadata_table.faults.is_down = is_down
 
     @rule(count=st.sampled_from([1, 2, 8]))
--- a/properties/keyed_requests.py
+++ b/properties/keyed_requests.py
@@ -124,7 +124,7 @@
 
     @rule(is_down=st.booleans())
     def table(self, is_down: bool) -> None:
-        """The table goes down or comes back."""
+        """The table becomes unavailable or available again."""
         self.world.cell.table.faults.is_down = is_down
 
     @rule()
--- a/properties/list_edits.py
+++ b/properties/list_edits.py
@@ -66,7 +66,7 @@
 
     @rule(is_down=st.booleans())
     def set_down(self, is_down: bool) -> None:
-        """The table goes down or comes back."""
+        """The table becomes unavailable or available again."""
         self.table.faults.is_down = is_down
 
     @rule()
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -270,7 +270,7 @@
 
 
 class _MemoryListener(Listener):
-    """Serves in its own nursery, so that a killed process answers nobody."""
+    """Serves in its own nursery, so that a killed process sends no replies."""
 
     def __init__(
         self, fabric: MemoryFabric, process: str, address: Address, serve: Any
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -75,7 +75,7 @@
                 self._lose_result(attempt)
 
     def restart(self) -> None:
-        """Crash and come back at once, without attempts and without a lease."""
+        """Crash and restart at once, without attempts and without a lease."""
         for attempt in self._list_attempts():
             self._suspend(attempt)
             self._lose_result(attempt)
@@ -177,7 +177,7 @@
             self._observer.finish_task(attempt.start.task)
 
     def _lose_result(self, attempt: _Attempt) -> None:
-        """Report to the observer a success that other processes may not know of.
+        """Report to the observer a success that other processes may not have learned.
 
         The lease lapsed, or the VM was lost, before the success was acknowledged, and
         the result is not in the object store either.
--- a/tests/support/job_world.py
+++ b/tests/support/job_world.py
@@ -45,7 +45,7 @@
     cell: JobCell  # type: ignore[assignment]
 
     def submit_job(self, entry: str, label: str, steps: list[Any], **spec: Any) -> int:
-        """Submit a job; return the status, 0 if no answer came."""
+        """Submit a job; return the status, 0 if no answer arrived."""
         body = {"spec": msgspec.json.encode(spec).decode(), "steps": steps}
         return self.call("POST", entry, job_id(label), body).status
 
@@ -69,7 +69,7 @@
         *,
         deadline_ms: int = 3000,
     ) -> HttpResponse:
-        """Send a request as a caller; return the answer, status 0 if none came."""
+        """Send a request as a caller; return the answer, status 0 if none arrived."""
         request = HttpRequest(
             method=method,
             target=f"{PATH_PREFIX}{name}",
