--- a/coltsfoottray/explain/history.py
+++ b/coltsfoottray/explain/history.py
@@ -223,7 +223,7 @@
 
     def _handle_claim(self, line: LogLine) -> None:
         if self._no_scheduler_since is None:
-            # A killed process logs nothing at its end: its last line stands for it.
+            # A killed process does not log its end: its last line is taken as the end.
             last_time = self._last_time_by_source.get(self._scheduler_source)
             self._no_scheduler_since = self.first if last_time is None else last_time
         self._scheduler_source = line.source
--- a/coltsfoottray/requests/attendant_client.py
+++ b/coltsfoottray/requests/attendant_client.py
@@ -10,8 +10,8 @@
 
 __all__ = ["AttendantClient"]
 
-# An attendant answers control calls at once, so a message without an answer
-# within this time is lost.
+# An attendant answers control calls at once, so a message without a reply
+# within this time is assumed to be lost.
 CONTROL_TIMEOUT = timedelta(seconds=1)
 
 
--- a/coltsfoottray/worker/attendant.py
+++ b/coltsfoottray/worker/attendant.py
@@ -102,11 +102,11 @@
         # Term 0 stops owners from proposing placements on a lost VM, all of which would
         # be refused. Only placement reads this term: whether attempts are lost is
         # decided by the lease row alone.
-        takes_tasks = self._is_ready and self._lease.is_valid
+        accepts_tasks = self._is_ready and self._lease.is_valid
         return WorkerReport(
             capacity=self._ledger.capacity,
             reserved=self._ledger.committed,
-            term=self._lease.term if takes_tasks else 0,
+            term=self._lease.term if accepts_tasks else 0,
             attempts=list(self._report_by_task.values()),
         )
 
--- a/properties/permanent_faults.py
+++ b/properties/permanent_faults.py
@@ -27,7 +27,7 @@
 class PermanentFaults:
     """Injects permanent faults.
 
-    `may_fail` tells callers whether a further fault leaves one entry and one worker
+    `may_fail` returns whether a further fault leaves one entry and one worker
     recoverable. A worker and its attendant share a name; a permanent fault of either
     makes both unrecoverable.
     """
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -248,7 +248,7 @@
 
 
 def _size(reply: Any) -> int:
-    """Return the bytes that a reply takes on a link; peer replies count as 0."""
+    """Return the size of a reply on a link in bytes; peer replies count as 0."""
     return len(reply.body) if isinstance(reply, HttpResponse) else 0
 
 
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -11,7 +11,7 @@
 
 @dataclass(kw_only=True)
 class Faults:
-    """Faults in force at the moment.
+    """Faults that are currently injected.
 
     Parameters
     ----------
--- a/standins/interference.py
+++ b/standins/interference.py
@@ -48,7 +48,7 @@
     latency_ms: float = 0.0
 
     def load(self, now_s: float) -> float:
-        """Return the fraction of the service's speed that its own users take."""
+        """Return the fraction of the service's speed that its own users consume."""
         swing = math.sin(2 * math.pi * now_s / self.period_s + self.phase)
         return _MEAN_LOAD * (1 + _LOAD_AMPLITUDE * swing)
 
--- a/standins/job_worker.py
+++ b/standins/job_worker.py
@@ -163,7 +163,7 @@
         self._reset()
 
     def destroy(self) -> None:
-        """Lose everything without notice and stay unreachable for good."""
+        """Lose everything without notice and stay unreachable permanently."""
         self.crash()
         self.is_unreachable = True
         self.is_destroyed = True
--- a/standins/observer.py
+++ b/standins/observer.py
@@ -73,7 +73,7 @@
             self.doubled.add(task)
 
     def lose_result(self, task: str) -> None:
-        """Record that a success of `task` was lost, perhaps before anyone knew of it.
+        """Record that a success of `task` was lost, perhaps before it was reported.
 
         Such a task has to run again, so a second success is not counted as doubled.
         """
--- a/standins/trace.py
+++ b/standins/trace.py
@@ -57,7 +57,7 @@
     Parameters
     ----------
     service_ms : float
-        Time that the upstream takes to answer.
+        Time in milliseconds until the upstream responds.
     retry_of : str, optional
         Id of the request that this one retries with the same idempotency key.
     """
