--- a/coltsfoottray/claims/service.py
+++ b/coltsfoottray/claims/service.py
@@ -221,7 +221,9 @@
         if not self._members.is_joined:
             return _unknown("this entry has not joined yet")
         if not self._members.is_confirmed:
-            return _unknown("this entry has been unable to reach the table for too long")
+            return _unknown(
+                "this entry has been unable to reach the table for too long"
+            )
         held = self._memory.find(request)
         is_own = held is not None and held.incarnation == self._incarnation
         if self._members.is_in_quarantine and not is_own:
--- a/coltsfoottray/daemons/job_entry.py
+++ b/coltsfoottray/daemons/job_entry.py
@@ -58,7 +58,7 @@
 
 # The load balancer checks readiness once a second and reacts to the second failure.
 _DRAIN_TIME = timedelta(seconds=3)
-_LAST_ANSWERS_TIMEOUT = timedelta(seconds=1)
+_LAST_RESPONSES_TIMEOUT = timedelta(seconds=1)
 
 
 class JobEntryDaemon(JobDaemon):
@@ -157,7 +157,7 @@
         await self.scheduler.stop()
         grace = timedelta(seconds=self.settings.grace_s)
         await self.clock.sleep(min(_DRAIN_TIME, grace / 2))
-        with trio.move_on_after(_LAST_ANSWERS_TIMEOUT.total_seconds()):
+        with trio.move_on_after(_LAST_RESPONSES_TIMEOUT.total_seconds()):
             await self.kernel.stop()
         self.kernel.cancel()
 
