--- a/properties/keyed_requests.py
+++ b/properties/keyed_requests.py
@@ -24,7 +24,7 @@
 
 
 class KeyedRequests(RuleBasedStateMachine):
-    """Compares answers with an oracle of the runs per key that upstreams observed."""
+    """Compares responses with an oracle of the runs per key that upstreams observed."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -36,7 +36,7 @@
         self._first_sent_by_key: dict[str, float] = {}
 
     def teardown(self) -> None:
-        """Recover from all faults, let requests settle and check the answers."""
+        """Recover from all faults, let requests settle and check the responses."""
         try:
             self._heal_all()
             self.world.advance(25)
@@ -134,18 +134,18 @@
 
     @invariant()
     def check_safety(self) -> None:
-        """No request ran twice, and every answer is correct."""
+        """No request ran twice, and every response is correct."""
         assert not self.world.cell.observer.doubled, self.world.cell.observer.doubled
-        for label, answer in self.world.answer_by_label.items():
-            if answer is not None and label not in self._checked_labels:
+        for label, response in self.world.response_by_label.items():
+            if response is not None and label not in self._checked_labels:
                 self._checked_labels.add(label)
-                self._check_answer(label, answer)
+                self._check_response(label, response)
 
     def _check_refused_keys(self) -> None:
         """Check that a key never ran if all its requests were refused as not run."""
         statuses_by_key: dict[str, set[int]] = defaultdict(set)
-        for label, answer in self.world.answer_by_label.items():
-            status = 0 if answer is None else answer.status
+        for label, response in self.world.response_by_label.items():
+            status = 0 if response is None else response.status
             statuses_by_key[self._key_by_label[label]].add(status)
         for key, statuses in statuses_by_key.items():
             assert statuses != {503} or self.world.runs(key) == 0, key
@@ -160,16 +160,16 @@
             return self._usable_key(key)
         return name
 
-    def _check_answer(self, label: str, answer: HttpResponse) -> None:
+    def _check_response(self, label: str, response: HttpResponse) -> None:
         key = self._key_by_label[label]
-        runs = self.world.runs_at_answer_by_label[label]
-        if answer.status == 200:
-            assert answer.body == f"answer to arolwg/{key}: {key}".encode(), answer
-            assert runs == 1, f"{key} ran {runs} times: {answer}"
-        elif answer.status == 503:
-            title = json.loads(answer.body)["title"]
-            assert title == "refused-not-run", answer
-            assert runs == 0, f"{key} ran but was refused: {answer.body!r}"
+        runs = self.world.runs_at_response_by_label[label]
+        if response.status == 200:
+            assert response.body == f"answer to arolwg/{key}: {key}".encode(), response
+            assert runs == 1, f"{key} ran {runs} times: {response}"
+        elif response.status == 503:
+            title = json.loads(response.body)["title"]
+            assert title == "refused-not-run", response
+            assert runs == 0, f"{key} ran but was refused: {response.body!r}"
 
     def _heal_all(self) -> None:
         self.world.fabric.cut.clear()
--- a/tests/steps/drain_steps.py
+++ b/tests/steps/drain_steps.py
@@ -79,7 +79,7 @@
 @then("every caller gets the whole answer to its own key")
 def check_all_answers(context):
     for key in context.keys:
-        answer = context.world.answer(key)
+        response = context.world.wait_for_response(key)
         expected = f"answer to arolwg/{key}: {key}".encode()
-        assert (answer.status, answer.body) == (200, expected), answer
+        assert (response.status, response.body) == (200, expected), response
         assert context.world.runs(key) == 1
--- a/tests/steps/list_steps.py
+++ b/tests/steps/list_steps.py
@@ -56,29 +56,29 @@
 def check_unhealthy(context, version):
     entry = context.world.cell.entry_by_name["entry-3"]
     assert entry.holder.current.version == version, entry.holder.current
-    answer = context.world.ask("entry-3", HttpRequest(method="GET", target="/health"))
-    assert answer.status == 503, answer
+    response = context.world.ask("entry-3", HttpRequest(method="GET", target="/health"))
+    assert response.status == 503, response
 
 
 @then('"{operator}" receives lists version {version:d}')
 def check_accepted(context, operator, version):
-    answer = context.answer_by_operator[operator]
-    assert answer.status == 200, answer
-    assert msgspec.json.decode(answer.body, type=Lists).version == version
+    response = context.response_by_operator[operator]
+    assert response.status == 200, response
+    assert msgspec.json.decode(response.body, type=Lists).version == version
 
 
 @then('"{operator}" is refused the edit because "{winner}" edited first')
 def check_conflict(context, operator, winner):
-    answer = context.answer_by_operator[operator]
-    assert answer.status == 409, answer
-    assert json.loads(answer.body)["detail"].startswith(f"{winner} changed"), answer
+    response = context.response_by_operator[operator]
+    assert response.status == 409, response
+    assert json.loads(response.body)["detail"].startswith(f"{winner} changed"), response
 
 
 @then('"{operator}" is refused the edit with "{text}"')
 def check_invalid(context, operator, text):
-    answer = context.answer_by_operator[operator]
-    assert answer.status == 400, answer
-    assert text in json.loads(answer.body)["detail"], answer
+    response = context.response_by_operator[operator]
+    assert response.status == 400, response
+    assert text in json.loads(response.body)["detail"], response
 
 
 @then('the history holds {count:d} edit by "{author}"')
@@ -122,6 +122,6 @@
     request = HttpRequest(
         method="POST", target="/lists", body=msgspec.json.encode(context.edit)
     )
-    if not hasattr(context, "answer_by_operator"):
-        context.answer_by_operator = {}
-    context.answer_by_operator[operator] = context.world.ask(entry, request)
+    if not hasattr(context, "response_by_operator"):
+        context.response_by_operator = {}
+    context.response_by_operator[operator] = context.world.ask(entry, request)
--- a/tests/steps/request_steps.py
+++ b/tests/steps/request_steps.py
@@ -123,9 +123,9 @@
 
 @then('"{label}" gets the whole answer of "{key}"')
 def check_answer(context, label, key):
-    answer = context.world.answer(label)
+    response = context.world.wait_for_response(label)
     expected = f"answer to arolwg/{key}: {key}".encode()
-    assert (answer.status, answer.body) == (200, expected), answer
+    assert (response.status, response.body) == (200, expected), response
 
 
 @then('"{first}" and "{second}" both get the whole answer of "{key}"')
@@ -141,14 +141,14 @@
 
 @then('"{label}" is told that the outcome is unknown, with a retry-after time')
 def check_unknown_retry(context, label):
-    answer = _check_problem(context, label, 504, "outcome-unknown")
-    assert int(answer.header_by_name["retry-after"]) >= 1, answer
+    response = _check_problem(context, label, 504, "outcome-unknown")
+    assert int(response.header_by_name["retry-after"]) >= 1, response
 
 
 @then('"{label}" is told that it was not run, with a retry-after time')
 def check_not_run(context, label):
-    answer = _check_problem(context, label, 503, "refused-not-run")
-    assert int(answer.header_by_name["retry-after"]) >= 1, answer
+    response = _check_problem(context, label, 503, "refused-not-run")
+    assert int(response.header_by_name["retry-after"]) >= 1, response
 
 
 @then('"{key}" has run {count:d} time')
@@ -158,7 +158,7 @@
 
 
 def _check_problem(context, label, status, title):
-    answer = context.world.answer(label)
-    assert answer.status == status, answer
-    assert json.loads(answer.body)["title"] == title, answer
-    return answer
+    response = context.world.wait_for_response(label)
+    assert response.status == status, response
+    assert json.loads(response.body)["title"] == title, response
+    return response
--- a/tests/support/job_world.py
+++ b/tests/support/job_world.py
@@ -45,7 +45,7 @@
     cell: JobCell  # type: ignore[assignment]
 
     def submit_job(self, entry: str, label: str, steps: list[Any], **spec: Any) -> int:
-        """Submit a job; return the status, 0 if no answer arrived."""
+        """Submit a job; return the status, 0 if no response arrived."""
         body = {"spec": msgspec.json.encode(spec).decode(), "steps": steps}
         return self.call("POST", entry, job_id(label), body).status
 
@@ -55,10 +55,10 @@
 
     def state_of(self, entry: str, label: str) -> str:
         """Return a job's state according to an entry, or else the status."""
-        answer = self.call("GET", entry, job_id(label))
-        if answer.status != 200:
-            return str(answer.status)
-        return str(msgspec.json.decode(answer.body)["state"])
+        response = self.call("GET", entry, job_id(label))
+        if response.status != 200:
+            return str(response.status)
+        return str(msgspec.json.decode(response.body)["state"])
 
     def call(
         self,
@@ -69,7 +69,7 @@
         *,
         deadline_ms: int = 3000,
     ) -> HttpResponse:
-        """Send a request as a caller; return the answer, status 0 if none arrived."""
+        """Send a request as a caller; return the response, status 0 if none arrived."""
         request = HttpRequest(
             method=method,
             target=f"{PATH_PREFIX}{name}",
@@ -86,9 +86,9 @@
             except CommunicationError:
                 return HttpResponse(status=0)
 
-        answer = self.run(exchange)
-        assert isinstance(answer, HttpResponse)
-        return answer
+        response = self.run(exchange)
+        assert isinstance(response, HttpResponse)
+        return response
 
     def kill_daemon(self, name: str) -> None:
         """Kill a daemon."""
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -39,8 +39,8 @@
     ):
         self._table_start_delay_s = table_start_delay_s
         self.fabric = MemoryFabric()
-        self.answer_by_label: dict[str, HttpResponse | None] = {}
-        self.runs_at_answer_by_label: dict[str, int] = {}
+        self.response_by_label: dict[str, HttpResponse | None] = {}
+        self.runs_at_response_by_label: dict[str, int] = {}
         self.cell: Cell = None  # type: ignore[assignment]
         trio._core._run._r.seed(0)
         self._deployment = _make_deployment(entries, instances, workers)
@@ -121,24 +121,24 @@
         self.run(resume)
 
     def send(self, label: str, entry: str, key: str, **options: Any) -> None:
-        """Send a request in the background; see `answer`."""
-        self.answer_by_label[label] = None
+        """Send a request in the background; see `wait_for_response`."""
+        self.response_by_label[label] = None
         address = self.cell.entry_by_name[entry].describe().http
         request = _make_request(key, **options)
 
         async def exchange() -> None:
             transport = self.fabric.transport("caller")
             try:
-                answer = await transport.send(address, request, timeout=_CALL_TIMEOUT)
+                response = await transport.send(address, request, timeout=_CALL_TIMEOUT)
             except CommunicationError:
-                answer = HttpResponse(status=0)
-            self.runs_at_answer_by_label[label] = self.runs(key)
-            self.answer_by_label[label] = answer
+                response = HttpResponse(status=0)
+            self.runs_at_response_by_label[label] = self.runs(key)
+            self.response_by_label[label] = response
 
         self.spawn(exchange)
 
     def ask(self, entry: str, request: HttpRequest) -> HttpResponse:
-        """Send a request and return its answer, with status 0 if none arrives."""
+        """Send a request and return the response, with status 0 if none arrives."""
         address = self.cell.entry_by_name[entry].describe().http
 
         async def exchange() -> HttpResponse:
@@ -148,12 +148,12 @@
             except CommunicationError:
                 return HttpResponse(status=0)
 
-        answer = self.run(exchange)
-        assert isinstance(answer, HttpResponse)
-        return answer
+        response = self.run(exchange)
+        assert isinstance(response, HttpResponse)
+        return response
 
     def submit(self, entry: str, task: str, customer: str, **options: Any) -> int:
-        """Submit a task and return the answer's status."""
+        """Submit a task and return the status of the response."""
         body = {
             "id": task,
             "kind": "basket-rebuild",
@@ -171,7 +171,7 @@
         return self.ask(entry, request).status
 
     def cancel(self, entry: str, task: str, customer: str) -> int:
-        """Cancel a task and return the answer's status."""
+        """Cancel a task and return the status of the response."""
         request = HttpRequest(
             method="DELETE",
             target=f"/tasks/{task}",
@@ -188,12 +188,12 @@
                 found[decoded.spec.task.partition("/")[2]] = decoded
         return found
 
-    def answer(self, label: str) -> HttpResponse:
-        """Return the answer, letting time pass until it has arrived."""
-        self.wait_until(lambda: self.answer_by_label[label] is not None)
-        answer = self.answer_by_label[label]
-        assert answer is not None
-        return answer
+    def wait_for_response(self, label: str) -> HttpResponse:
+        """Return the response, letting time pass until it has arrived."""
+        self.wait_until(lambda: self.response_by_label[label] is not None)
+        response = self.response_by_label[label]
+        assert response is not None
+        return response
 
     def wait_until(
         self, condition: Callable[[], bool], limit_s: float = 60, step_s: float = 0.01
