--- a/coltsfoottray/cli/losses.py
+++ b/coltsfoottray/cli/losses.py
@@ -74,9 +74,7 @@
     unknown = unknown_share(result)
     texts += ["", f"not told by these logs: {unknown:.1%} of the time"]
     if unknown > _MAX_UNKNOWN_SHARE:
-        texts.append(
-            "too much for the rest to be reliable; check for missing log files"
-        )
+        texts.append("that is too much to trust the rest: are files missing?")
     return texts
 
 
