--- a/coltsfoottray/claims/batcher.py
+++ b/coltsfoottray/claims/batcher.py
@@ -93,7 +93,7 @@
             )
         except CommunicationError as error:
             log_event("claims:unreachable", entry=self._entry, error=str(error))
-            # Only one call to a paused member waits for the time-out, not each one.
+            # Only one call to a paused member waits for the timeout, not each one.
             self._unreachable_until = self._clock.elapsed() + UNREACHABLE_DURATION
             return None
         return reply.verdicts
--- a/coltsfoottray/claims/messages.py
+++ b/coltsfoottray/claims/messages.py
@@ -130,11 +130,11 @@
     Parameters
     ----------
     is_member : bool
-        Whether the replier has joined; if not, its claims may be incomplete.
+        Whether the replying entry has joined; if not, its claims may be incomplete.
     has_gap : bool
-        Whether the replier, not having joined, knows that claims may be lost.
+        Whether the replying entry, not having joined, found that claims may be lost.
     quarantine_s : float
-        How much longer the replier's claims are incomplete, in seconds.
+        How much longer the claims of the replying entry are incomplete, in seconds.
     """
 
     is_member: bool
--- a/coltsfoottray/cli/lists.py
+++ b/coltsfoottray/cli/lists.py
@@ -81,9 +81,9 @@
 @app.command()
 def status(entry: EntryOption = _DEFAULT_ENTRY) -> None:
     """Show which version each daemon has in force."""
-    reply = fetch_status(entry)
-    typer.echo(f"{reply.lists_version:>6}  {reply.entry}")
-    for daemon in reply.daemons:
+    entry_status = fetch_status(entry)
+    typer.echo(f"{entry_status.lists_version:>6}  {entry_status.entry}")
+    for daemon in entry_status.daemons:
         typer.echo(f"{daemon.lists_version:>6}  {daemon.daemon}")
 
 
--- a/coltsfoottray/cli/queries.py
+++ b/coltsfoottray/cli/queries.py
@@ -56,15 +56,15 @@
 
 def status(entry: EntryOption = "127.0.0.1:8080") -> None:
     """Show the daemons that an entry knows, and the latency by kind of request."""
-    reply = fetch_status(entry)
-    typer.echo(f"{reply.entry}: lists at version {reply.lists_version}")
-    for daemon in reply.daemons:
+    entry_status = fetch_status(entry)
+    typer.echo(f"{entry_status.entry}: lists at version {entry_status.lists_version}")
+    for daemon in entry_status.daemons:
         draining = ", draining" if daemon.is_draining else ""
         typer.echo(
             f"  {daemon.role.value:9}{daemon.daemon} in {daemon.data_centre}, "
             f"lists at version {daemon.lists_version}{draining}"
         )
-    for kind, line in sorted(reply.latency_ms.items()):
+    for kind, line in sorted(entry_status.latency_ms.items()):
         typer.echo(
             f"  {kind}: {line.count} answered, "
             f"p50 {line.p50:.1f} ms, p99 {line.p99:.1f} ms"
--- a/coltsfoottray/leases/lost_workers.py
+++ b/coltsfoottray/leases/lost_workers.py
@@ -24,7 +24,7 @@
 
     The mark is written only if the row still has the version last read. A holder
     that renews at the same moment either writes first, and the worker is not
-    lost, or finds the mark and learns that its tasks are no longer bound to it.
+    lost, or finds the mark, by which its tasks are no longer bound to it.
     """
 
     def __init__(
--- a/coltsfoottray/leases/worker.py
+++ b/coltsfoottray/leases/worker.py
@@ -122,7 +122,7 @@
         task_status.started()
         while True:
             # Retry sooner after a failure. After an outage or a short silence, a
-            # renewal delayed by an interval and a time-out would be too late.
+            # renewal delayed by an interval and a timeout would be too late.
             await self._clock.sleep(self._lease / (3 if is_renewed else 10))
             is_renewed = await self._try_renew()
 
--- a/coltsfoottray/lists/models.py
+++ b/coltsfoottray/lists/models.py
@@ -28,7 +28,7 @@
 
 
 class Allowance(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What each customer with a plan may use at any moment.
+    """Limits on what each customer with a plan may use at the same time.
 
     Parameters
     ----------
--- a/coltsfoottray/peers/relay.py
+++ b/coltsfoottray/peers/relay.py
@@ -222,7 +222,7 @@
     async def _send_relayed(
         self, request: HttpRequest, timeout: timedelta
     ) -> HttpResponse | None:
-        """Send through an entry; return None if the table certainly got nothing."""
+        """Send through an entry; return None if the table certainly did not see it."""
         relays = self._relays()
         if not relays or self._clock.elapsed() < self._relay_paused_until:
             return None
--- a/coltsfoottray/requests/dispatcher.py
+++ b/coltsfoottray/requests/dispatcher.py
@@ -31,7 +31,7 @@
 
 __all__ = ["CallerRequest", "Dispatcher"]
 
-# If this many places refuse a request, the service as a whole is taken to be full.
+# If this many places refuse a request, the service as a whole is considered full.
 MAX_PLACES = 4
 # The place in a claim to a request that is not sent anywhere.
 NO_PLACE = Place(
--- a/properties/planted.py
+++ b/properties/planted.py
@@ -182,6 +182,6 @@
 
 @contextmanager
 def answers_given_up_on_their_way() -> Iterator[None]:
-    """Apply the time-out for the start of a response to the whole response."""
+    """Apply the timeout for the start of a response to the whole response."""
     with mock.patch.object(links, "extend_deadline", lambda limit: None):
         yield
