--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -304,9 +304,9 @@
     def accept(self, message: Any, pending: _Pending) -> None:
         """Start to serve `message`."""
         assert self._nursery is not None
-        self._nursery.start_soon(self._answer, message, pending)
+        self._nursery.start_soon(self._handle_message, message, pending)
 
-    async def _answer(self, message: Any, pending: _Pending) -> None:
+    async def _handle_message(self, message: Any, pending: _Pending) -> None:
         faults = self._fabric.faults(self.process)
         if faults.lost_requests > 0:
             faults.lost_requests -= 1
@@ -365,11 +365,11 @@
         timeout: timedelta = DEFAULT_TIMEOUT,
         on_response_start: OnResponseStart | None = None,
     ) -> HttpResponse:
-        reply = await self._fabric.exchange(
+        response = await self._fabric.exchange(
             self._process, address, request, timeout, on_response_start
         )
-        assert isinstance(reply, HttpResponse)
-        return reply
+        assert isinstance(response, HttpResponse)
+        return response
 
 
 class _MemoryPeers(PeerClient):
--- a/standins/job_worker.py
+++ b/standins/job_worker.py
@@ -34,7 +34,7 @@
 
 @dataclass(kw_only=True)
 class RunObserver:
-    """Records the runs on all workers, and violations of what must never happen.
+    """Records the runs on all workers, and violations of the rules for runs.
 
     Parameters
     ----------
--- a/tests/steps/channel_steps.py
+++ b/tests/steps/channel_steps.py
@@ -68,7 +68,7 @@
 
 async def _call_all(timeouts):
     handlers = CallHandlers()
-    handlers.add(_ECHO, _answer)
+    handlers.add(_ECHO, _handle_echo)
     server = GrpcPeerServer(address=_ANY_PORT, handlers=handlers)
     client = GrpcPeerClient()
     answers = [None, None]
@@ -94,5 +94,5 @@
     return answers
 
 
-async def _answer(request):
+async def _handle_echo(request):
     return request
