--- a/tests/steps/channel_steps.py
+++ b/tests/steps/channel_steps.py
@@ -48,13 +48,13 @@
         return protocol
 
     with mock.patch.object(Channel, "_create_connection", connect_slowly):
-        context.answers = trio.run(_call_all, timeouts)
+        context.replies = trio.run(_call_all, timeouts)
     context.opened = opened
 
 
 @then("the first call fails, and the second one is answered")
-def check_answers(context):
-    failed, answered = context.answers
+def check_replies(context):
+    failed, answered = context.replies
     assert isinstance(failed, CommunicationError), failed
     assert answered == _EchoMessage("b"), answered
 
@@ -71,15 +71,15 @@
     handlers.add(_ECHO, _handle_echo)
     server = GrpcPeerServer(address=_ANY_PORT, handlers=handlers)
     client = GrpcPeerClient()
-    answers = [None, None]
+    replies = [None, None]
 
     async def call(number, text, timeout):
         try:
-            answers[number] = await client.call(
+            replies[number] = await client.call(
                 server.bound_address, _ECHO, _EchoMessage(text), timeout=timeout
             )
         except CommunicationError as error:
-            answers[number] = error
+            replies[number] = error
 
     async with trio.open_nursery() as nursery:
         await nursery.start(server.run)
@@ -91,7 +91,7 @@
         # A garbage-collected connection raises its error in a task of its own.
         await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
-    return answers
+    return replies
 
 
 async def _handle_echo(request):
