--- a/coltsfoottray/daemons/job_entry.py
+++ b/coltsfoottray/daemons/job_entry.py
@@ -46,19 +46,19 @@
 _BACKGROUND = ServiceName("background")
 
 # Entries notify the scheduler of jobs directly. This interval therefore bounds only
-# how old the answers of other entries are, and how late a change without a
+# how old the responses of other entries are, and how late a change without a
 # notification arrives.
 _JOBS_POLL_INTERVAL = timedelta(milliseconds=300)
 # A configuration must be in force within seconds of its confirmation.
 _CONFIG_POLL_INTERVAL = timedelta(milliseconds=100)
 
-# With older copies of the rows, answers to callers may be wrong, so the entry is not
+# With older copies of the rows, responses to callers may be wrong, so the entry is not
 # ready.
 _MAX_COPY_AGE = timedelta(seconds=4)
 
 # The load balancer checks readiness once a second and reacts to the second failure.
 _DRAIN_TIME = timedelta(seconds=3)
-_LAST_ANSWERS_TIMEOUT = timedelta(seconds=1)
+_LAST_RESPONSES_TIMEOUT = timedelta(seconds=1)
 
 
 class JobEntryDaemon(JobDaemon):
@@ -157,7 +157,7 @@
         await self.scheduler.stop()
         grace = timedelta(seconds=self.settings.grace_s)
         await self.clock.sleep(min(_DRAIN_TIME, grace / 2))
-        with trio.move_on_after(_LAST_ANSWERS_TIMEOUT.total_seconds()):
+        with trio.move_on_after(_LAST_RESPONSES_TIMEOUT.total_seconds()):
             await self.kernel.stop()
         self.kernel.cancel()
 
--- a/coltsfoottray/explain/history.py
+++ b/coltsfoottray/explain/history.py
@@ -87,12 +87,12 @@
 
 @dataclass(kw_only=True)
 class JobHistory:
-    """What the log lines say about one job.
+    """The history of one job, as far as the log lines record it.
 
     Parameters
     ----------
     accepted_at, ended_at : datetime, optional
-        None if no line says when.
+        None if no line records the time.
     """
 
     id: str
@@ -223,7 +223,7 @@
 
     def _handle_claim(self, line: LogLine) -> None:
         if self._no_scheduler_since is None:
-            # A killed process logs nothing at its end: its last line stands for it.
+            # A killed process does not log its end: its last line is taken as the end.
             last_time = self._last_time_by_source.get(self._scheduler_source)
             self._no_scheduler_since = self.first if last_time is None else last_time
         self._scheduler_source = line.source
--- a/coltsfoottray/worker/attendant.py
+++ b/coltsfoottray/worker/attendant.py
@@ -49,7 +49,7 @@
 
 
 class WorkerAttendant(Service):
-    """Answers the calls of task owners and reports the attempts on its worker.
+    """Handles the calls of task owners and reports the attempts on its worker.
 
     Parameters
     ----------
@@ -102,11 +102,11 @@
         # Term 0 stops owners from proposing placements on a lost VM, all of which would
         # be refused. Only placement reads this term: whether attempts are lost is
         # decided by the lease row alone.
-        takes_tasks = self._is_ready and self._lease.is_valid
+        accepts_tasks = self._is_ready and self._lease.is_valid
         return WorkerReport(
             capacity=self._ledger.capacity,
             reserved=self._ledger.committed,
-            term=self._lease.term if takes_tasks else 0,
+            term=self._lease.term if accepts_tasks else 0,
             attempts=list(self._report_by_task.values()),
         )
 
@@ -152,7 +152,7 @@
         """Return why the attempt may not start, None if the table assigns it here.
 
         If a reservation exists, the owner has just made it. Otherwise the request may
-        come from an owner that has lost the table, for a task that has ended under
+        be from an owner that cannot reach the table, for a task that has ended under
         another owner and whose record was dropped here.
         """
         task = request.spec.task
--- a/properties/batch_tasks.py
+++ b/properties/batch_tasks.py
@@ -167,12 +167,12 @@
 
     @rule(is_down=st.booleans())
     def table(self, is_down: bool) -> None:
-        """The table goes down or comes back."""
+        """The table becomes unavailable or available again."""
         self.world.cell.table.faults.is_down = is_down
 
     @rule()
     def lose_table_answer(self) -> None:
-        """The next write takes effect, but its reply is lost."""
+        """The next write takes effect, but its response is lost."""
         self.world.cell.table.faults.lost_answers = 1
 
     @invariant()
@@ -193,7 +193,7 @@
         assert not +observer.running_by_task, observer.running_by_task
 
     def _are_all_final(self) -> bool:
-        """Whether all tasks are final, including those whose acceptance was lost."""
+        """Return whether all tasks are final, also those whose acceptance was lost."""
         rows = self.world.rows()
         is_complete = self._accepted <= set(rows)
         return is_complete and all(row.state.is_final for row in rows.values())
--- a/properties/jobs.py
+++ b/properties/jobs.py
@@ -188,17 +188,17 @@
 
     @rule(worker=WORKERS)
     def lose_start_answer(self, worker: str) -> None:
-        """The next start order is carried out, but its reply is lost."""
+        """The next start order is carried out, but its response is lost."""
         self.world.cell.worker_by_name[worker].unanswered_starts = 1
 
     @rule(is_down=st.booleans())
     def store(self, is_down: bool) -> None:
-        """The store goes down or comes back."""
+        """The store becomes unavailable or available again."""
         self.world.cell.metadata_table.faults.is_down = is_down
 
     @rule(count=st.sampled_from([1, 2, 8]))
     def lose_write_answers(self, count: int) -> None:
-        """The next writes take effect, but their replies are lost."""
+        """The next writes take effect, but their responses are lost."""
         self.world.cell.metadata_table.faults.lost_answers = count
 
     @rule()
@@ -311,7 +311,7 @@
         return may_be_cancelled and state == "cancelled"
 
     def _is_service_settled(self, label: str, state: str) -> bool:
-        """Whether all tasks of a service run, or none if it is cancelled."""
+        """Return whether all tasks of a service run, or none if it is cancelled."""
         running = self._running_count(label)
         if state in ("410", "cancelled"):
             assert label in self._cancel_requested, (
@@ -328,7 +328,7 @@
         return sum(task.startswith(job_id(label)) for task in tasks)
 
     def _is_done(self, label: str) -> bool:
-        """Whether each task of a job has succeeded at least once.
+        """Return whether each task of a job has succeeded at least once.
 
         This includes ends that the worker has discarded: it may have reported them.
         """
--- a/properties/list_edits.py
+++ b/properties/list_edits.py
@@ -66,12 +66,12 @@
 
     @rule(is_down=st.booleans())
     def set_down(self, is_down: bool) -> None:
-        """The table goes down or comes back."""
+        """The table becomes unavailable or available again."""
         self.table.faults.is_down = is_down
 
     @rule()
     def lose_answer(self) -> None:
-        """The next write takes effect, but its reply is lost."""
+        """The next write takes effect, but its response is lost."""
         self.table.faults.lost_answers = 1
 
     @invariant()
--- a/properties/planted.py
+++ b/properties/planted.py
@@ -40,7 +40,7 @@
 ]
 
 # The longest lease that a scheduler grants a worker.
-_LEASE = timedelta(seconds=7)
+_MAX_LEASE = timedelta(seconds=7)
 
 
 @contextmanager
@@ -69,7 +69,7 @@
 
     def tombstone(self: ExecutionLedger, request: Any, attempt: int) -> Any:
         execution = original(self, request, attempt)
-        if not execution.answer and execution.ended.is_set():
+        if not execution.response and execution.ended.is_set():
             self._execution_by_id.pop(request, None)
         return execution
 
@@ -157,7 +157,7 @@
         reply = original(self, report)
         if not report.is_reachable or not report.life:
             worker = self._fleet.worker_by_id[report.worker]
-            lease_end = self._clock.elapsed() + _LEASE
+            lease_end = self._clock.elapsed() + _MAX_LEASE
             worker.lease_end = max(worker.lease_end, lease_end)
         return reply
 
@@ -182,6 +182,6 @@
 
 @contextmanager
 def answers_given_up_on_their_way() -> Iterator[None]:
-    """Apply the time-out for the start of an answer to the whole answer."""
+    """Apply the timeout for the start of a response to the whole response."""
     with mock.patch.object(links, "extend_deadline", lambda limit: None):
         yield
--- a/standins/job_worker.py
+++ b/standins/job_worker.py
@@ -34,7 +34,7 @@
 
 @dataclass(kw_only=True)
 class RunObserver:
-    """Records the runs on all workers, and violations of what must never happen.
+    """Records the runs on all workers, and violations of the rules for runs.
 
     Parameters
     ----------
@@ -163,7 +163,7 @@
         self._reset()
 
     def destroy(self) -> None:
-        """Lose everything without notice and stay unreachable for good."""
+        """Lose everything without notice and stay unreachable permanently."""
         self.crash()
         self.is_unreachable = True
         self.is_destroyed = True
@@ -198,7 +198,7 @@
             await trio.sleep_forever()
         response = await self._dispatch(request)
         if self.is_destroyed:
-            # Requests that arrived before the destruction get no answer either.
+            # Requests that arrived before the destruction get no response either.
             await trio.sleep_forever()
         return response
 
