--- a/deploy/requirements.py
+++ b/deploy/requirements.py
@@ -1,4 +1,4 @@
-"""Prints the dependencies that pyproject.toml declares, one a line."""
+"""Print the dependencies that pyproject.toml declares, one per line."""
 
 from __future__ import annotations
 
