--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,5 @@
-# `make demo` and `make test` work on a fresh machine: each makes its own venv.
+# The targets that run Python create the venv first if needed, so that `make demo` and
+# `make test` work on a fresh machine.
 PYTHON ?= python3
 VENV := .venv
 BIN := $(VENV)/bin
@@ -24,7 +25,7 @@
 clean:
 	rm -rf $(VENV)
 
-# Longer than CI, and with new seeds each time: RUNS and STEPS set how long.
+# Runs longer than in CI, with new seeds each time. RUNS and STEPS set the length.
 RUNS ?= 300
 STEPS ?= 40
 fuzz: $(VENV)/.installed
